--- /dev/null
+++ b/test/compat/builds.ts
@@ -0,0 +1,38 @@
+/** The two builds that run in one fleet. */
+
+import { existsSync } from 'node:fs';
+import { join } from 'node:path';
+
+/** A built checkout of one version. */
+export interface Build {
+  /** What the report calls it. */
+  label: 'this' | 'other';
+  /** Bundle of the pass-through entry. */
+  bundle: string;
+  /** Binary of the router. */
+  router: string;
+}
+
+/** A checkout is not there or not built; the message says what to run. */
+export class BuildMissingError extends Error {
+  override readonly name = 'BuildMissingError';
+}
+
+/**
+ * Finds the binaries of a checkout.
+ *
+ * @example
+ * const other = findBuild('other', '../previous');
+ */
+export function findBuild(label: Build['label'], directory: string): Build {
+  const bundle = join(directory, 'target/flamingocourse.mjs');
+  const router = join(directory, 'packages/router/bin/flamingocourseRouter.mjs');
+  const compiled = join(directory, 'packages/router/dist/node/main.js');
+  for (const file of [bundle, router, compiled]) {
+    if (existsSync(file)) continue;
+    throw new BuildMissingError(
+      `${file} does not exist; run "npm ci && npm run build && node scripts/bundle.mjs" in ${directory}`,
+    );
+  }
+  return { label, bundle, router };
+}
--- /dev/null
+++ b/test/compat/checkGateways.ts
@@ -0,0 +1,304 @@
+/** Two builds of the pass-through entry in one fleet, on stored objects and settings that one of them wrote. */
+
+import type { UsersServer as Server } from '../platform/usersServer.js';
+import type { Build } from './builds.js';
+import type { CompatReport } from './report.js';
+import { mkdtemp, rm } from 'node:fs/promises';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { setTimeout as delay } from 'node:timers/promises';
+import { findFreePorts } from '../../packages/lab/src/node/freePorts.js';
+import { createRandom } from '../../packages/lab/src/runtime/random.js';
+import { CRASHING_BODY, USED_INSTANCE, UsersServer } from '../platform/usersServer.js';
+import { UsersStore } from '../platform/usersStore.js';
+import { configWith, until } from '../platform/world.js';
+import { SoakCallers } from '../soak/soakCallers.js';
+import { SoakCrashes } from '../soak/soakCrashes.js';
+import { SoakProcess } from '../soak/soakProcess.js';
+import { TOKENS_PER_EVENT, brokenPromises } from '../soak/soakPromises.js';
+
+/** So many that most instances borrow from spenders. */
+const INSTANCES = 12;
+const PORTS_EACH = 3;
+const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'];
+/** The first two are spent during the load; the others send the request that crashes its servers. */
+const SPENDING = ['kirk', 'spock'];
+const CRASHING = ['uhura', 'sulu'];
+/** Tokens of each account: the calls of a run exceed them. */
+const LIMIT = 120_000;
+const CALL_MS = 20;
+const ALONE_MS = 3_000;
+const MIXED_MS = 8_000;
+/** Milliseconds within which all instances have to know such a request. */
+const LEARNING_MS = 3_000;
+const SEED = 41;
+
+type Instance = SoakProcess & { build: Build };
+
+/** Checks both entries; ends all processes before it returns or throws. */
+export async function checkGateways(first: Build, second: Build): Promise<CompatReport> {
+  const fleet = await GatewayFleet.create(first);
+  try {
+    await fleet.start();
+    await fleet.load(ALONE_MS);
+    await fleet.replaceEverySecond(second);
+    await fleet.load(MIXED_MS);
+    await fleet.crash(CRASHING[0] ?? '', first, second);
+    await fleet.crash(CRASHING[1] ?? '', second, first);
+    return fleet.report([first, second]);
+  } finally {
+    await fleet.close();
+  }
+}
+
+class GatewayFleet {
+  readonly #seen: string[] = [];
+  readonly #broken: string[] = [];
+  readonly #callers = new Map<Build, SoakCallers>();
+  #callersMade = 0;
+  readonly #allCallers: SoakCallers[] = [];
+
+  private constructor(
+    readonly directory: string,
+    readonly store: UsersStore,
+    readonly plain: Server[],
+    readonly engines: Server[],
+    readonly instances: Instance[],
+    readonly cleanUps: (() => unknown)[],
+  ) {}
+
+  static async create(build: Build): Promise<GatewayFleet> {
+    const cleanUps: (() => unknown)[] = [];
+    const scope = {
+      after: (cleanUp: unknown) => {
+        cleanUps.push(cleanUp as () => unknown);
+      },
+    };
+    const directory = await mkdtemp(join(tmpdir(), 'flamingocourse-compat-'));
+    const store = await new UsersStore().listen(scope);
+    const plain = await Promise.all(
+      ['p1', 'p2'].map((name) => new UsersServer(name).listen(scope)),
+    );
+    for (const server of plain) {
+      store.put('servers', server.id, server.entry('ledger', { slots: 16, born: 1 }));
+    }
+    const engines = await SoakCrashes.startEngines(store, scope);
+    store.put('config', 'main', configOf());
+    const ports = await findFreePorts(PORTS_EACH * INSTANCES);
+    const instances = Array.from({ length: INSTANCES }, (_, at) => {
+      const settings = settingsOf(ports.slice(PORTS_EACH * at), store.url, at);
+      return runWith(new SoakProcess(`edge-${String(at + 1)}`, directory, settings), build);
+    });
+    return new GatewayFleet(directory, store, plain, engines, instances, cleanUps);
+  }
+
+  async start(): Promise<void> {
+    await Promise.all(this.instances.map(startUntilReady));
+  }
+
+  /** Calls to all instances; each build's answers are noted apart. */
+  async load(forMs: number): Promise<void> {
+    const groups = [...new Set(this.instances.map(({ build }) => build))].map((build) => {
+      const callers = this.#newCallers(this.#instancesOf(build));
+      this.#callers.set(build, callers);
+      return callers;
+    });
+    let turn = 0;
+    const calling = setInterval(() => {
+      turn += 1;
+      groups[turn % groups.length]?.send();
+    }, CALL_MS);
+    await delay(forMs);
+    clearInterval(calling);
+    await Promise.all(groups.map((callers) => callers.settle()));
+  }
+
+  /** Every second instance of each data centre stops and starts again with the other build. */
+  async replaceEverySecond(build: Build): Promise<void> {
+    const replaced = this.instances.filter(
+      (_, at) => Math.floor(at / DATA_CENTRES.length) % 2 === 1,
+    );
+    for (const instance of replaced) {
+      await instance.end('SIGTERM');
+      await startUntilReady(runWith(instance, build));
+    }
+  }
+
+  /** A request that crashes its servers is sent through one build only, and the other must refuse it. */
+  async crash(account: string, through: Build, other: Build): Promise<void> {
+    const senders = this.#instancesOf(through);
+    const crashes = new SoakCrashes(this.engines, senders, account, createRandom(SEED));
+    const knew = new Map(this.instances.map((instance) => [instance, quarantines(instance).size]));
+    const hasLearned = (instance: Instance): boolean => {
+      return quarantines(instance).size > (knew.get(instance) ?? 0);
+    };
+    crashes.start();
+    try {
+      await until(`${through.label} refuses the request`, () => senders.every(hasLearned));
+    } finally {
+      crashes.stop();
+    }
+    await delay(LEARNING_MS);
+    const arrivedBefore = this.#crashingArrivals;
+    const others = this.#instancesOf(other);
+    const repeats = new SoakCrashes(this.engines, others, account, createRandom(SEED));
+    repeats.start();
+    await delay(LEARNING_MS);
+    repeats.stop();
+    const arrived = this.#crashingArrivals - arrivedBefore;
+    const learned = others.filter(hasLearned).length;
+    const path = `a request that crashed servers, from ${through.label} to ${other.label}`;
+    this.#seen.push(`${path}: ${String(learned)} of ${String(others.length)} instances know it`);
+    if (learned < others.length) this.#broken.push(`${path}: not all know it`);
+    if (arrived > 0) this.#broken.push(`${path}: ran ${String(arrived)} times more`);
+  }
+
+  report(builds: readonly Build[]): CompatReport {
+    for (const build of builds) this.#reportServed(build);
+    for (const build of builds) this.#reportLoans(build);
+    const servers = [...this.plain, ...this.engines];
+    this.#broken.push(
+      ...brokenPromises({
+        answers: this.#allCallers.flatMap(({ answers }) => answers),
+        arrivals: servers.flatMap(({ seen }) => seen),
+        arrivalsOf: new Map(servers.map(({ id, seen }) => [id, seen])),
+        rests: [],
+        limits: new Map(SPENDING.map((account) => [account, LIMIT])),
+      }),
+      ...this.instances.flatMap(({ ownEnds }) => ownEnds.map((end) => `ended by itself: ${end}`)),
+    );
+    return { title: 'entries', seen: this.#seen, broken: this.#broken };
+  }
+
+  async close(): Promise<void> {
+    for (const callers of this.#allCallers) callers.close();
+    await Promise.all(this.instances.map((instance) => instance.end('SIGKILL')));
+    for (const cleanUp of this.cleanUps) await cleanUp();
+    await rm(this.directory, { recursive: true, force: true });
+  }
+
+  #reportServed(build: Build): void {
+    const answers = this.#callers.get(build)?.answers ?? [];
+    const served = answers.filter(({ status }) => status === 200);
+    const generated = served.filter(({ kind }) => kind === 'chat' || kind === 'draft');
+    const counts = `${String(served.length)} of ${String(answers.length)} requests served`;
+    this.#seen.push(
+      `${build.label} build in the mixed fleet: ${counts}, ${String(generated.length)} paid`,
+    );
+    const instances = new Set(
+      [...this.plain, ...this.engines].flatMap(({ seen }) => {
+        return seen.map(({ headers }) => headers[USED_INSTANCE]);
+      }),
+    );
+    const idle = this.#instancesOf(build).filter(({ name }) => !instances.has(name));
+    for (const { name } of idle) this.#broken.push(`${name} (${build.label}) served nobody`);
+    if (generated.length === 0) this.#broken.push(`the ${build.label} build spent no tokens`);
+  }
+
+  /** Loans that instances of a build took from instances of the other one. */
+  #reportLoans(build: Build): void {
+    const others = this.instances.filter((instance) => instance.build !== build);
+    const names = new Set(others.map(({ name }) => name));
+    const loans = this.#instancesOf(build).flatMap((instance) => {
+      return lines(instance).filter(({ name, lender }) => {
+        return name === 'prepaid-borrowed' && names.has(String(lender));
+      });
+    });
+    this.#seen.push(
+      `${build.label} build borrowed ${String(loans.length)} times from the other one`,
+    );
+    if (loans.length === 0) {
+      this.#broken.push(`the ${build.label} build borrowed nothing from the other one`);
+    }
+  }
+
+  get #crashingArrivals(): number {
+    const seen = this.engines.flatMap((engine) => engine.seen);
+    return seen.filter(({ body, ran }) => ran && body === CRASHING_BODY).length;
+  }
+
+  #instancesOf(build: Build): Instance[] {
+    return this.instances.filter((instance) => instance.build === build);
+  }
+
+  #newCallers(instances: Instance[]): SoakCallers {
+    this.#callersMade += 1;
+    const random = createRandom(SEED + this.#callersMade);
+    const callers = new SoakCallers(instances, SPENDING, random, `q${String(this.#callersMade)}`);
+    this.#allCallers.push(callers);
+    return callers;
+  }
+}
+
+function runWith(instance: SoakProcess, build: Build): Instance {
+  instance.bundle = build.bundle;
+  instance.output = '';
+  return Object.assign(instance, { build });
+}
+
+async function startUntilReady(instance: Instance): Promise<void> {
+  await instance.start();
+  await until(`${instance.name} is ready`, async () => {
+    const [end] = instance.ownEnds;
+    if (end !== undefined) throw new Error(`${end}; its last line: ${lastLine(instance)}`);
+    try {
+      return (await fetch(`http://${instance.settings.listen.ready}/api/ready`)).ok;
+    } catch (err) {
+      // it does not listen yet.
+      if (err instanceof TypeError) return false;
+      throw err;
+    }
+  });
+}
+
+interface LogLine {
+  name?: unknown;
+  lender?: unknown;
+  fingerprint?: unknown;
+}
+
+function lines({ output }: SoakProcess): LogLine[] {
+  return output.split('\n').flatMap((line) => {
+    try {
+      return [JSON.parse(line) as LogLine];
+    } catch {
+      // the kept tail of the output may begin or end within a line.
+      return [];
+    }
+  });
+}
+
+function quarantines(instance: SoakProcess): Set<unknown> {
+  const found = lines(instance).filter(({ name }) => name === 'request-quarantined');
+  return new Set(found.map(({ fingerprint }) => fingerprint));
+}
+
+function lastLine({ output }: SoakProcess): string {
+  return output.trimEnd().split('\n').at(-1) ?? 'none';
+}
+
+function configOf(): Record<string, unknown> {
+  const { services } = configWith() as { services: { engine?: object }[] };
+  const tenants = [
+    ...SPENDING.map((name) => ({ name, api_keys: [`key-of-${name}`], prepaid: LIMIT })),
+    ...CRASHING.map((name) => ({ name, api_keys: [`key-of-${name}`] })),
+  ];
+  const sized = services.map((service) => {
+    return service.engine
+      ? { ...service, engine: { slots: 16, stride: TOKENS_PER_EVENT } }
+      : service;
+  });
+  return configWith({ version: 8, tenants, services: sized });
+}
+
+function settingsOf(ports: number[], storeUrl: string, at: number): SoakProcess['settings'] {
+  const [entry = '', ready = '', mesh = ''] = ports.map((port) => `127.0.0.1:${String(port)}`);
+  return {
+    dataCentre: DATA_CENTRES[at % DATA_CENTRES.length],
+    listen: { entry, ready, mesh },
+    store: { url: storeUrl, timeoutMs: 500, watchIdleMs: 1_000, configurationIdleMs: 1_000 },
+    prepaid: { reportMs: 300, rideThroughSeconds: 3 },
+    retries: { ratio: 0.2, slack: 54, windowMs: 10_000 },
+    stopGraceMs: 4_000,
+  };
+}
--- a/test/soak/soakCallers.ts
+++ b/test/soak/soakCallers.ts
@@ -38,6 +38,7 @@
     readonly instances: SoakProcess[],
     readonly accounts: string[],
     readonly random: Random,
+    readonly idPrefix = 'q',
   ) {}
 
   /** Sends one request; its answer is noted when it ends. */
@@ -45,7 +46,7 @@
     const { random } = this;
     this.#count += 1;
     const call = {
-      id: `q-${String(this.#count)}`,
+      id: `${this.idPrefix}-${String(this.#count)}`,
       kind: random.pick<CallKind>(['look', 'book', 'chat', 'draft']),
       account: random.pick(this.accounts),
       prompt: random.int(100, 2_000),
--- a/test/soak/soakProcess.ts
+++ b/test/soak/soakProcess.ts
@@ -10,6 +10,8 @@
 
 export class SoakProcess {
   readonly port: number;
+  /** Bundle that the next start runs. */
+  bundle = 'target/flamingocourse.mjs';
   output = '';
   /** Whether a restart is under way. */
   busy = false;
@@ -38,7 +40,7 @@
     await writeFile(this.#file, JSON.stringify({ instance: this.name, ...this.settings }));
     this.#expected = false;
     this.#isUp = false;
-    const child = spawn(process.execPath, ['target/flamingocourse.mjs'], {
+    const child = spawn(process.execPath, [this.bundle], {
       env: { ...process.env, FLAMINGOCOURSE_CONFIG: this.#file },
       stdio: ['ignore', 'pipe', 'pipe'],
     });
