--- a/packages/gateway/src/node/arrivalWatch.ts
+++ b/packages/gateway/src/node/arrivalWatch.ts
@@ -90,7 +90,7 @@
     setImmediate(() => {
       this.#isMarking = false;
       const wasAccepting = this.#bounds.isAccepting;
-      this.#bounds.looks(this.#context.clock.now());
+      this.#bounds.beforePoll(this.#context.clock.now());
       // whether more connections wait shows in the next turn.
       if (wasAccepting) this.#markSoon();
       else this.#endBehind();
--- a/packages/gateway/src/node/requestFlow.ts
+++ b/packages/gateway/src/node/requestFlow.ts
@@ -17,7 +17,7 @@
 import { isStream, mayFollow, refuseFailed } from '../runtime/attemptJudgement.js';
 import { affinityKey } from '../runtime/affinityKey.js';
 import { chargeOf } from '../runtime/charge.js';
-import { importanceOf, urgencyOf } from '../runtime/urgency.js';
+import { importanceOf, effectivePriority } from '../runtime/urgency.js';
 import { ServerAttempt, historyOf } from './serverAttempt.js';
 
 /** Milliseconds after which a caller may come back when no server could take its request. */
@@ -119,7 +119,7 @@
     const placed = await lane.lane.place({
       service: service.name,
       workClass: route.name,
-      importance: importanceOf(urgencyOf(route, account)),
+      importance: importanceOf(effectivePriority(route, account)),
       deadline: endsAt,
       // what has not run yet waits for limits and rests only while the answer can still be in time.
       ...(this.#progress.mayHaveRun === 0 ? { startBy: arrivedAt + route.targetMs } : {}),
--- a/packages/gateway/src/runtime/affinityKey.ts
+++ b/packages/gateway/src/runtime/affinityKey.ts
@@ -1,11 +1,11 @@
-/** Which part of a prompt decides where its request goes. */
+/** Selects the part of a prompt that is used for server affinity. */
 
 import type { PromptPart } from '../types/call.js';
 
 /**
- * The part by which requests are kept together at a server. Of three or more parts it is the second:
- * the first is shared by so many requests that one server could not take them all, and is soon read
- * at every server anyhow; the last belongs to the request alone.
+ * Returns the id of the part by which requests are kept together at a server. For three or more
+ * parts it is the second: the first is shared by more requests than one server could take, and every
+ * server has soon cached it; the last is unique to the request.
  *
  * @example
  * affinityKey([{ id: 'a', tokens: 2_500 }, { id: 'b', tokens: 3_800 }, { id: 'c', tokens: 900 }]); // 'b'
--- a/packages/gateway/src/runtime/arrivalBounds.ts
+++ b/packages/gateway/src/runtime/arrivalBounds.ts
@@ -1,54 +1,54 @@
-/** Since when a request that is read now may have lain unread. */
+/** Bounds on how long a request was waiting in the socket before it was read. */
 
 /**
- * Earliest times at which requests can have arrived. The event loop accepts one connection in each of its turns, and
- * reads each connection once, so a request may have arrived long before it is read.
+ * Earliest times at which requests can have arrived. The event loop accepts one connection per
+ * iteration and reads each connection once, so a request may arrive long before it is read.
  *
- * All times are milliseconds of a steady clock.
+ * All times are milliseconds of a monotonic clock.
  *
  * @example
- * bounds.looks(0); // right before the event loop looks for news
- * bounds.looks(40);
+ * bounds.beforePoll(0); // right before the event loop polls for I/O
+ * bounds.beforePoll(40);
  * bounds.accepted();
- * bounds.connectionsFrom; // 0: a connection that came before was accepted before
+ * bounds.connectionsFrom; // 0: a connection opened earlier was accepted earlier
  */
 export class ArrivalBounds {
-  #lookedAt: number;
+  #polledAt: number;
   #readUpTo: number;
   #acceptedUpTo: number;
   #accepting = false;
 
   constructor(now: number) {
-    this.#lookedAt = now;
+    this.#polledAt = now;
     this.#readUpTo = now;
     this.#acceptedUpTo = now;
   }
 
-  /** What is read now has arrived after this, if its connection was accepted before. */
+  /** Lower bound of the arrival time of a request read now on a connection accepted earlier. */
   get requestsFrom(): number {
     return this.#readUpTo;
   }
 
-  /** A connection that is accepted now was opened after this. */
+  /** Lower bound of the time at which a connection accepted now was opened. */
   get connectionsFrom(): number {
     return this.#acceptedUpTo;
   }
 
-  /** Whether connections may still wait to be accepted. */
+  /** Whether more connections may be waiting to be accepted. */
   get isAccepting(): boolean {
     return this.#accepting;
   }
 
-  /** A connection was accepted; others may wait behind it. */
+  /** Records that a connection was accepted; more may be waiting behind it. */
   accepted(): void {
     this.#accepting = true;
   }
 
-  /** The event loop is about to look for news; what had arrived at its last look was read since. */
-  looks(now: number): void {
-    if (!this.#accepting) this.#acceptedUpTo = this.#lookedAt;
+  /** Records that the event loop is about to poll. All data present at the previous poll has been read. */
+  beforePoll(now: number): void {
+    if (!this.#accepting) this.#acceptedUpTo = this.#polledAt;
     this.#accepting = false;
-    this.#readUpTo = this.#lookedAt;
-    this.#lookedAt = now;
+    this.#readUpTo = this.#polledAt;
+    this.#polledAt = now;
   }
 }
--- a/packages/gateway/src/runtime/attemptJudgement.ts
+++ b/packages/gateway/src/runtime/attemptJudgement.ts
@@ -1,41 +1,41 @@
-/** What follows from an attempt that gave no whole answer. */
+/** Decides whether a failed attempt may be retried, and what to answer if not. */
 
 import type { Refusal, Repetition, RunVerdict } from '@flamingocourse/core';
 
 /** How an attempt failed. */
 export type FailedAttempt =
-  /** No byte reached the server. */
+  /** No byte of the request reached the server. */
   | 'not-sent'
-  /** The server says that it did not run the request. */
+  /** The server responded that it did not run the request. */
   | 'refused'
-  /** The address belongs to another server now. */
+  /** The address now belongs to another server. */
   | 'other-server'
-  /** It may have run: the connection broke, the answer was spoilt or did not come in time. */
+  /** The request may have run: connection lost, invalid response, or timeout. */
   | 'unknown'
-  /** The server's own failure; it ran. */
+  /** The request ran and the server responded with an error. */
   | 'server-error';
 
-/** What is known of a request when an attempt has failed. */
+/** State of a request after a failed attempt. */
 export interface AttemptHistory {
   repetition: Repetition;
-  /** Servers that the request may be run on. */
+  /** Maximum number of servers that may run the request. */
   maxAttempts: number;
   /** Attempts so far that may have run. */
   mayHaveRun: number;
-  /** Attempts so far, all kinds. */
+  /** Attempts so far, whether or not they ran. */
   made: number;
-  /** Milliseconds left for the caller's answer. */
+  /** Milliseconds left until the deadline. */
   leftMs: number;
 }
 
-/** Attempts of one request that no server ran, after which it is refused. */
+/** Attempts that no server ran after which the request is refused. */
 const MAX_UNRUN = 4;
-/** Milliseconds below which another attempt has no chance of an answer. */
+/** Milliseconds below which a retry cannot get a response before the deadline. */
 const MIN_LEFT_MS = 20;
 
 /**
- * Whether another attempt may follow, as far as the request itself goes. The fleet's allowance for
- * further attempts is asked separately, and only for attempts that reach a server.
+ * Returns whether the request itself allows another attempt. The caller checks the fleet's retry
+ * allowance separately, and only after attempts that reached a server.
  *
  * @example
  * mayFollow('not-sent', { repetition: 'once', maxAttempts: 1, mayHaveRun: 0, made: 1, leftMs: 400 });
@@ -54,22 +54,22 @@
   }
 }
 
-/** Whether a request may be run again after it may have run. */
+/** Returns whether a request that may have run may be run again. */
 export function isRepeatable(repetition: Repetition): boolean {
   return repetition === 'idempotent' || repetition === 'resumable-stream';
 }
 
-/** Whether the answer is a series of events. */
+/** Returns whether the response is an event stream. */
 export function isStream(repetition: Repetition): boolean {
   return repetition === 'resumable-stream' || repetition === 'once-stream';
 }
 
-/** What a refusal may say: `not-run` only when no attempt can have run. */
+/** Returns `not-run` only if no attempt can have run. */
 export function runVerdict(mayHaveRun: number): RunVerdict {
   return mayHaveRun === 0 ? 'not-run' : 'unknown';
 }
 
-/** Final refusal of a request whose attempts failed. */
+/** Returns the final refusal of a request whose attempts failed. */
 export function refuseFailed(mayHaveRun: number, detail: string, retryAfterMs: number): Refusal {
   if (mayHaveRun > 0) return { reason: 'backend-failed', run: 'unknown', detail };
   return { reason: 'no-backend-server', run: 'not-run', detail, retryAfterMs };
--- a/packages/gateway/src/runtime/enginePriority.ts
+++ b/packages/gateway/src/runtime/enginePriority.ts
@@ -1,34 +1,37 @@
-/** In which order an engine should admit requests that wait at the same time. */
+/** Admission priority of requests that wait at an engine at the same time. */
 
 import type { GenerationSize } from '../types/call.js';
 
-/** Requests with at most so many prompt tokens get the priority; 0 is admitted first. */
+/** Priority of requests with at most `maxPromptTokens` prompt tokens; 0 is admitted first. */
 interface PriorityStep {
-  upTo: number;
+  maxPromptTokens: number;
   priority: number;
 }
 
 /**
- * Shortest work first. An engine reads prompts one after the other: behind one of 30,000 tokens a
- * question of 500 waits most of a second, while the long one hardly notices the short one before it.
- * Waiting times so fall for nearly all, at the expense of a few very long ones. The steps follow the
- * sizes of chats, drafts and digests.
+ * Shortest prompt first. An engine processes prompts one after the other: a prompt of 500 tokens
+ * behind one of 30,000 waits most of a second, while the long prompt is hardly delayed by the short
+ * one. This reduces the waiting time of nearly all requests at the expense of a few very long ones.
+ * The steps follow the sizes of chats, drafts and digests.
  */
 const STEPS: readonly PriorityStep[] = [
-  { upTo: 1_000, priority: 1 },
-  { upTo: 2_500, priority: 2 },
-  { upTo: 6_000, priority: 3 },
-  { upTo: 10_000, priority: 4 },
-  { upTo: 16_000, priority: 5 },
+  { maxPromptTokens: 1_000, priority: 1 },
+  { maxPromptTokens: 2_500, priority: 2 },
+  { maxPromptTokens: 6_000, priority: 3 },
+  { maxPromptTokens: 10_000, priority: 4 },
+  { maxPromptTokens: 16_000, priority: 5 },
 ];
 const LONGEST_PRIORITY = 6;
 
 /**
- * Priority of a generation, from 0 (first) to 9.
+ * Returns the priority of a generation, from 0 (first) to 9.
  *
  * @example
  * enginePriority({ prompt: 543, most: 80 }); // 1
  */
 export function enginePriority(size: GenerationSize): number {
-  return STEPS.find(({ upTo }) => size.prompt <= upTo)?.priority ?? LONGEST_PRIORITY;
+  return (
+    STEPS.find(({ maxPromptTokens }) => size.prompt <= maxPromptTokens)?.priority ??
+    LONGEST_PRIORITY
+  );
 }
--- a/packages/gateway/src/runtime/retryAllowance.ts
+++ b/packages/gateway/src/runtime/retryAllowance.ts
@@ -1,31 +1,32 @@
 /**
- * This instance's part of the attempts beyond the first that all instances together may make at a
- * service. Each instance keeps within its own part, so the sum holds also while none sees another.
+ * This instance's share of the retries that the whole fleet may send to a service. Each instance
+ * stays within its own share, so the fleet's limit holds even while instances are partitioned.
  */
 
-/** Bounds of the whole fleet. */
+/** Retry limits of the whole fleet. */
 export interface RetryBounds {
-  /** Attempts beyond the first, as a part of the requests of the window. */
+  /** Retries, as a fraction of the requests in the window. */
   ratio: number;
-  /** Further attempts in a window, for the whole fleet. */
+  /** Additional retries in a window, for the whole fleet. */
   slack: number;
+  /** Length of the sliding window, in milliseconds. */
   windowMs: number;
 }
 
-/** What an allowance is created with. */
+/** Options of a retry allowance. */
 export interface RetryAllowanceOptions extends RetryBounds {
-  /** Instances that share the slack. */
+  /** Number of instances that share the slack. */
   instances: number;
 }
 
 /**
- * Part of the bound that is used. What one instance counts in its window and what all are judged by
- * begins and ends at different moments.
+ * Fraction of the limit that is used. The window of an instance and the window in which the whole
+ * fleet is measured start and end at different times.
  */
-const SAFE_PART = 0.8;
+const SAFETY_FACTOR = 0.8;
 
 /**
- * Sliding count of requests and further attempts.
+ * Counts requests and retries in a sliding window.
  *
  * @example
  * allowance.request(now);
@@ -50,38 +51,38 @@
     this.#instances = count;
   }
 
-  /** Moments kept in memory; those of one window, whether further attempts are asked for or not. */
+  /** Number of timestamps in memory. Bounded by the window, even if no retry is ever requested. */
   get kept(): number {
     return this.#requests.length + this.#taken.length;
   }
 
-  /** Counts a request for the service. */
+  /** Counts a request to the service. */
   request(now: number): void {
-    this.#forget(now);
+    this.#dropExpired(now);
     this.#requests.push(now);
   }
 
-  /** Takes one further attempt, if the window has one left. */
+  /** Takes one retry from the allowance. Returns false if none is left in the window. */
   take(now: number): boolean {
-    this.#forget(now);
-    if (this.#taken.length >= this.#most()) return false;
+    this.#dropExpired(now);
+    if (this.#taken.length >= this.#maxRetries()) return false;
     this.#taken.push(now);
     return true;
   }
 
-  #forget(now: number): void {
+  #dropExpired(now: number): void {
     const from = now - this.#bounds.windowMs;
     dropUntil(this.#requests, from);
     dropUntil(this.#taken, from);
   }
 
-  #most(): number {
+  #maxRetries(): number {
     const { ratio, slack } = this.#bounds;
-    return Math.floor(SAFE_PART * (ratio * this.#requests.length + slack / this.#instances));
+    return Math.floor(SAFETY_FACTOR * (ratio * this.#requests.length + slack / this.#instances));
   }
 }
 
-/** Drops the moments up to and including `until`; they are in order. */
+/** Removes the timestamps up to and including `until`. `times` is in ascending order. */
 function dropUntil(times: number[], until: number): void {
   const kept = times.findIndex((time) => time > until);
   times.splice(0, kept < 0 ? times.length : kept);
--- a/packages/gateway/src/runtime/urgency.ts
+++ b/packages/gateway/src/runtime/urgency.ts
@@ -1,16 +1,16 @@
-/** How urgent a request is, as the operators declared it. */
+/** Priority of a request, from the configuration of its route and account. */
 
 import type { Importance, Route, RoutedAccount } from '@flamingocourse/core';
 
-/** The account's priority goes before the route's; 0 is the most urgent. */
-export function urgencyOf(
+/** Returns the account's priority if it has one, otherwise the route's; 0 is the most urgent. */
+export function effectivePriority(
   route: Pick<Route, 'priority'>,
   account: Pick<RoutedAccount, 'priority'> | undefined,
 ): number {
   return account?.priority ?? route.priority;
 }
 
-/** Lane of the queue for a priority. */
+/** Returns the importance class of the admission queue for a priority. */
 export function importanceOf(priority: number): Importance {
   if (priority <= 0) return 'first';
   return priority === 1 ? 'standard' : 'background';
--- a/packages/gateway/src/types/call.ts
+++ b/packages/gateway/src/types/call.ts
@@ -1,79 +1,79 @@
-/** Requests and answers as the pass-through pipeline sees them, whatever their form on the wire. */
+/** Requests and responses of the pass-through pipeline, independent of their format on the wire. */
 
 import type { Tokens } from '@flamingocourse/core';
 import type { IncomingHttpHeaders } from 'node:http';
 
-/** A part of a prompt; requests with the same part share cached state at a server. */
+/** A part of a prompt. Requests with the same part can reuse state cached at a server. */
 export interface PromptPart {
   id: string;
   tokens: Tokens;
 }
 
-/** Size of a generation. */
+/** Size of a text generation, in tokens. */
 export interface GenerationSize {
   prompt: Tokens;
-  /** Most tokens that may be generated. */
+  /** Maximum number of tokens to generate. */
   most: Tokens;
 }
 
-/** What a caller said in the head of its request. */
+/** Decoded head of a caller's request. */
 export interface CallHead {
-  /** Identity of this one try of the caller. */
+  /** Request id. A retry by the caller has a new one. */
   id: string;
-  /** Without port. */
+  /** Host name without the port. */
   host: string;
   method: string;
   /** Path and query. */
   target: string;
   path: string;
-  /** Key of the account; undefined when the caller sent none. */
+  /** API key of the client account; undefined if the caller sent none. */
   key: string | undefined;
-  /** Milliseconds that the caller will wait; undefined when it did not say. */
+  /** Caller's timeout in milliseconds; undefined if the caller sent none. */
   waitMs: number | undefined;
-  /** Absent for work that is not a generation. */
+  /** Undefined if the request is not a text generation. */
   size: GenerationSize | undefined;
   /** In prompt order. */
   promptParts: PromptPart[];
-  /** Event after which a stream is to go on. */
+  /** Id of the event after which a stream resumes. */
   resumeAfter: string | undefined;
   headers: IncomingHttpHeaders;
-  /** Header names as they were sent, for passing on. */
+  /** Alternating names and values as they were sent, for forwarding. */
   rawHeaders: string[];
 }
 
-/** What the pipeline adds to a request that it passes on. */
+/** What the pipeline adds to a request that it forwards. */
 export interface AttemptDetails {
   serverId: string;
-  /** Milliseconds that are left for the answer. */
+  /** Milliseconds left for the response. */
   leftMs: number;
   account: string | undefined;
-  /** Order in which the server admits, 0 first; undefined leaves it to the server. */
+  /** Admission priority at the server, 0 first; undefined leaves the order to the server. */
   priority: number | undefined;
   resumeAfter: string | undefined;
-  /** `host:port` of a server from which the prompt may be copied as far as it was read there. */
+  /** `host:port` of a server from which the already processed part of the prompt may be copied. */
   copyFrom: string | undefined;
   bodyBytes: number;
 }
 
-/** What an answer's head says about the run. */
+/** What the head of a response says about the execution of the request. */
 export type HeadVerdict =
-  /** The server's own answer to this request. */
+  /** The server's own response to this request. */
   | 'answered'
-  /** The server says that it did not run the request, and never will. */
+  /** The server did not run the request and will not run it later. */
   | 'not-run'
-  /** The address belongs to another server; not run. */
+  /** The address now belongs to another server; the request was not run. */
   | 'other-server'
-  /** Not an answer to this request; whether it ran is not known. */
+  /** Not a response to this request; whether the request ran is unknown. */
   | 'spoilt';
 
-/** Head of a server's answer. */
+/** Head of a server's response. */
 export interface ServerHead {
   status: number;
   headers: IncomingHttpHeaders;
   rawHeaders: string[];
 }
 
-/** Load that a server told with an answer. */
+/** Load that a server reported in the headers of a response. */
 export interface ToldLoad {
   running: number;
   waiting: number;
--- a/packages/gateway/src/types/context.ts
+++ b/packages/gateway/src/types/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the pipeline are created with. */
+/** Dependencies that the parts of the pipeline share. */
 
 import type { ListedServer, RoutedConfig, ServerNotices } from '@flamingocourse/core';
 import type { Clock, EventLog } from '@flamingocourse/kernel';
@@ -7,19 +7,19 @@
 import type { CallerDialect, ServerDialect } from './dialects.js';
 import type { GatewaySettings } from './gatewaySettings.js';
 
-/** Everything that depends on where the product runs. */
+/** Adapters for the platform that the router runs on. */
 export interface GatewayDialects {
   store: StoreDialect;
   callers: CallerDialect;
   servers: ServerDialect;
-  /** The configuration is the object `configurationName` of this collection. */
+  /** Collection that holds the configuration, as the object `configurationName`. */
   configuration: Collection<RoutedConfig>;
   configurationName: string;
-  /** One object for each server, named by its id. */
+  /** One object per backend server, named by the server's id. */
   serverList: Collection<ListedServer>;
 }
 
-/** Shared, passive parts of the process. */
+/** Objects shared by all services of the process; none of them has to be started. */
 export interface GatewayContext {
   settings: GatewaySettings;
   clock: Clock;
@@ -27,8 +27,8 @@
   metrics: GatewayMetrics;
   store: ObjectStore;
   dialects: GatewayDialects;
-  /** What servers have said of themselves to this instance. */
+  /** Notices that backend servers sent to this instance about themselves. */
   notices: ServerNotices;
-  /** Numbers from 0 (included) to 1 (excluded). */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   random: () => number;
 }
--- a/packages/gateway/src/types/dialects.ts
+++ b/packages/gateway/src/types/dialects.ts
@@ -1,41 +1,41 @@
-/** The seams between the pipeline and the forms of requests and answers. */
+/** Interfaces between the pipeline and the wire formats of callers and backend servers. */
 
 import type { Refusal, ServerId, ServerNotice, ServerWord } from '@flamingocourse/core';
 import type { IncomingMessage, OutgoingHttpHeaders } from 'node:http';
 import type { Result } from 'true-myth';
 import type { AttemptDetails, CallHead, HeadVerdict, ServerHead, ToldLoad } from './call.js';
 
-/** A refusal as it is written. */
+/** HTTP response that carries a refusal. */
 export interface WrittenRefusal {
   status: number;
   headers: OutgoingHttpHeaders;
   body: string;
 }
 
-/** How callers speak. */
+/** Wire format between callers and this instance. */
 export abstract class CallerDialect {
-  /** Path that tells whether this instance wants new connections. */
+  /** Path of the readiness check. */
   abstract readonly readyPath: string;
-  /** Decodes a request's head. The error says what is wrong with it. */
+  /** Decodes the head of a request. The error describes what is invalid. */
   abstract decode(req: IncomingMessage): Result<CallHead, string>;
-  /** Decides status and headers of a refusal. */
+  /** Encodes a refusal as an HTTP response. */
   abstract writeRefusal(refusal: Refusal): WrittenRefusal;
 }
 
-/** How backend servers speak. */
+/** Wire format between this instance and backend servers. */
 export abstract class ServerDialect {
-  /** Headers of an attempt, as alternating names and values. */
+  /** Returns the headers of an attempt, as alternating names and values. */
   abstract attemptHeaders(head: CallHead, details: AttemptDetails): string[];
-  /** Judges the head of an answer. */
+  /** Classifies the head of a response. */
   abstract judge(head: CallHead, answer: ServerHead): HeadVerdict;
-  /** Load of the server, where it told it. */
+  /** Returns the load of the server, if the response reports it. */
   abstract load(answer: ServerHead): ToldLoad | undefined;
-  /** What the answer says of its server: leaving, rest and rate limit. */
+  /** Returns what the response says about its server: leaving, requested pause and rate limit. */
   abstract notice(answer: ServerHead): ServerNotice;
-  /** Headers of a question for a server's status, as alternating names and values. */
+  /** Returns the headers of a health check, as alternating names and values. */
   abstract healthHeaders(serverId: ServerId, host: string): string[];
-  /** Decides what the answer says of the server that was asked. */
+  /** Classifies the response to a health check of server `serverId`. */
   abstract judgeHealth(serverId: ServerId, answer: ServerHead): ServerWord;
-  /** Headers for the caller, as alternating names and values, without those of the connection. */
+  /** Returns the headers for the caller, as alternating names and values, without hop-by-hop headers. */
   abstract answerHeaders(answer: ServerHead): string[];
 }
--- a/packages/gateway/src/types/gatewaySettings.ts
+++ b/packages/gateway/src/types/gatewaySettings.ts
@@ -1,4 +1,4 @@
-/** Settings of a process with the pass-through entry. */
+/** Settings of a gateway process. */
 
 import type { UnansweredPolicy } from '../runtime/charge.js';
 
@@ -16,44 +16,45 @@
     entry: Listen;
     ready: Listen;
     metrics?: Listen | undefined;
-    /** Serves the other instances; without it this instance neither lends nor borrows. */
+    /** Listener for the other instances; without it this instance neither lends nor borrows. */
     mesh?: Listen | undefined;
   };
   store: {
     url: string;
-    /** Milliseconds for a whole call. */
+    /** Timeout of a whole call, in milliseconds. */
     timeoutMs: number;
-    /** Milliseconds for which a watch may be silent. */
+    /** Milliseconds without data after which a watch counts as broken. */
     watchIdleMs: number;
-    /** Milliseconds within which a watch of the configuration that went silent has to be open anew. */
+    /** Milliseconds within which a silent watch of the configuration has to be reopened. */
     configurationIdleMs: number;
   };
   prepaid: {
-    /** Milliseconds between reports of spend. */
+    /** Milliseconds between two reports of spent tokens. */
     reportMs: number;
-    /** Seconds of its demand that an instance holds to serve while it is cut off. */
+    /** Seconds of demand that an instance holds tokens for, to keep serving while it is partitioned. */
     rideThroughSeconds: number;
-    /** Whether a request of which the account got nothing is charged with its prompt. */
+    /** Whether a request that returned nothing to the account is charged for its prompt. */
     unanswered: UnansweredPolicy;
-    /** Milliseconds without a report after which an instance is taken for lost. */
+    /** Milliseconds without a report after which an instance counts as lost. */
     silentMs: number;
-    /** Milliseconds between two looks at the members of a group. */
+    /** Milliseconds between two checks of the members of a group. */
     tendMs: number;
   };
   retries: {
-    /** Attempts beyond the first, as a part of all requests of a service. */
+    /** Maximum retries, as a fraction of all requests of a service. */
     ratio: number;
-    /** Further such attempts that the whole fleet may make in a window. */
+    /** Additional retries per window, for the whole fleet. */
     slack: number;
+    /** Length of the sliding window, in milliseconds. */
     windowMs: number;
   };
   servers: {
-    /** Milliseconds after the store's return for which entries that lapsed meanwhile are kept. */
+    /** Milliseconds after an outage of the store for which servers with an expired entry are kept. */
     lapseGraceMs: number;
-    /** Milliseconds for a new connection. */
+    /** Timeout of a new connection, in milliseconds. */
     connectMs: number;
   };
-  /** Milliseconds between the order to stop and the end of the process. */
+  /** Milliseconds from the stop signal to the end of the process. */
   stopGraceMs: number;
   logLevel: 'error' | 'warn' | 'info' | 'debug';
 }
--- a/packages/gateway/src/types/healthCheck.ts
+++ b/packages/gateway/src/types/healthCheck.ts
@@ -1,9 +1,9 @@
-/** How a backend server is asked for its own word on whether it stays. */
+/** Health check that asks a backend server whether it is shutting down. */
 
 import type { ListedServer, ServerId, ServerWord } from '@flamingocourse/core';
 
-/** Asks servers for their status. */
+/** Checks the status of backend servers. */
 export abstract class HealthCheck {
-  /** Never rejects; takes a bounded time. */
+  /** Asks a server for its status. Never rejects; takes a bounded time. */
   abstract ask(id: ServerId, server: ListedServer): Promise<ServerWord>;
 }
--- a/packages/gateway/src/types/outcome.ts
+++ b/packages/gateway/src/types/outcome.ts
@@ -3,13 +3,13 @@
 import type { Refusal } from '@flamingocourse/core';
 
 export type OutcomeType =
-  /** The server's whole answer was written. */
+  /** The server's complete response was written. */
   | 'answered'
-  /** A refusal of our own was written. */
+  /** This instance refused the request. */
   | 'refused'
-  /** The answer broke off after its head was written. */
+  /** The response was aborted after its head was written. */
   | 'broken'
-  /** The caller left first. */
+  /** The caller disconnected before the response was complete. */
   | 'gone';
 
 export interface Outcome {
--- a/packages/gateway/src/types/requestRun.ts
+++ b/packages/gateway/src/types/requestRun.ts
@@ -1,4 +1,4 @@
-/** What a request is run with, and how far it has come. */
+/** Context and progress of one request. */
 
 import type {
   NoticeView,
@@ -15,7 +15,7 @@
 import type { CallHead } from './call.js';
 import type { GatewayContext } from './context.js';
 
-/** What all requests of a process share. */
+/** Services shared by all requests of the process. */
 export interface FlowParts {
   context: GatewayContext;
   lanes: BackendLanes;
@@ -24,7 +24,7 @@
   agent: ServerAgent;
 }
 
-/** A request whose route and account are known and whose body was read. */
+/** A request whose route and account are known and whose body has been read. */
 export interface RoutedCall {
   head: CallHead;
   body: Buffer;
@@ -32,12 +32,12 @@
   route: Route;
   account: RoutedAccount | undefined;
   service: RoutedService;
-  /** From when its time counts. */
+  /** When the time limit of the request starts. */
   arrivedAt: number;
-  /** When its time is over, by the caller's word and the route's limit. */
+  /** Deadline, from the caller's timeout and the route's time limit. */
   endsAt: number;
   answer: CallerAnswer;
-  /** Aborted when the caller left or its time is over. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   signal: AbortSignal;
 }
 
@@ -47,24 +47,24 @@
   tried: string[];
   /** Server of the last attempt. */
   server?: string;
-  /** State of the list by which that server was chosen. */
+  /** State of the server list when that server was chosen. */
   list?: ListView;
-  /** What that server had said of itself before the attempt. */
+  /** Notices in force for that server when the attempt started. */
   notice?: NoticeView | undefined;
-  /** When the last attempt got its place at that server. */
+  /** When the last attempt was assigned to that server. */
   placedAt?: number;
-  /** When the last attempt was written to that server. */
+  /** When the request was last written to that server. */
   sentAt?: number | undefined;
-  /** Attempts so far, all kinds. */
+  /** Attempts so far, whether or not they ran. */
   made: number;
   /** Attempts so far that may have run. */
   mayHaveRun: number;
-  /** Events of the stream that were passed on. */
+  /** Events of the stream forwarded to the caller. */
   events: number;
-  /** Event after which another server has to go on. */
+  /** Id of the event after which another server has to resume. */
   resumeAfter: string | undefined;
   /** Tokens charged to the account. */
   charged: number;
-  /** Digest of what runs, the same whenever the caller sends it again. */
+  /** Digest of the request's content; the same when the caller repeats the request. */
   fingerprint: string;
 }
--- a/packages/gateway/src/utils/gatewaySettingsSchema.ts
+++ b/packages/gateway/src/utils/gatewaySettingsSchema.ts
@@ -1,4 +1,4 @@
-/** Shape and defaults of the settings file. */
+/** Schema and defaults of the settings file. */
 
 import { z } from 'zod';
 
@@ -13,7 +13,7 @@
 
 const milliseconds = z.number().int().positive().describe('a whole number of milliseconds');
 
-/** Fields that are not known are passed over: the file may be written for newer versions too. */
+/** Ignores unknown fields, because the file may be written for a newer version. */
 export const gatewaySettingsSchema = z.object({
   instance: z.string().min(1).describe('the name of this instance'),
   dataCentre: z.string().min(1).describe('the name of the data centre'),
@@ -25,24 +25,24 @@
   }),
   store: z.object({
     url: z.string().describe('the URL of the object store'),
-    // a healthy store answers in some milliseconds, a slow one in some hundred.
+    // a healthy store responds within a few milliseconds, a slow one within a few hundred.
     timeoutMs: milliseconds.default(1_000),
-    // entries of servers that live lapse during an outage of 2.3 seconds; a longer silence would hide it.
+    // entries of live servers expire during an outage of 2.3 seconds; a longer idle time would hide it.
     watchIdleMs: milliseconds.default(2_400),
-    // a watch that went silent has to be opened anew before changes are due in force here again. Each
-    // waiting call has its price, so this is as long as the platform allows.
+    // a silent watch has to be reopened before the time in which changes must take effect here is
+    // over. Each long poll has a cost, so this is as long as the platform allows.
     configurationIdleMs: milliseconds.default(2_400),
   }),
   prepaid: z
     .object({
       reportMs: milliseconds.default(2_000),
       rideThroughSeconds: z.number().positive().default(9.5),
-      // whether a request of which the account got nothing is charged with its prompt.
+      // whether a request that returned nothing to the account is charged for its prompt.
       unanswered: z.enum(['free', 'charged']).default('free'),
-      // outlasts any restart or cut that we were told of; an instance that was only cut off for longer
-      // loses some ten seconds of tokens.
+      // longer than any restart or network partition that operators reported. An instance that was
+      // only partitioned for longer loses about ten seconds' worth of tokens.
       silentMs: milliseconds.default(600_000),
-      // time between two looks at the members of a group; two reads a minute cost nothing that shows.
+      // interval between two checks of a group's members; two reads a minute have no noticeable cost.
       tendMs: milliseconds.default(60_000),
     })
     .prefault({}),
@@ -53,9 +53,9 @@
   }),
   servers: z
     .object({
-      // servers that live have written their entry again two seconds after the store's return.
+      // live servers rewrite their entries within two seconds after the store is back.
       lapseGraceMs: milliseconds.default(2_200),
-      // a new connection takes two milliseconds; a server that lost power never answers.
+      // a new connection takes two milliseconds; a server without power never responds.
       connectMs: milliseconds.default(250),
     })
     .prefault({}),
--- a/packages/gateway/src/utils/instanceSchemas.ts
+++ b/packages/gateway/src/utils/instanceSchemas.ts
@@ -1,8 +1,8 @@
-/** Shape of the stored objects that list the instances of the fleet. */
+/** Schema of the stored objects that list the instances of the fleet. */
 
 import { z } from 'zod';
 
-/** The instances of one data centre, by name. */
+/** Instances of one data centre, keyed by name. */
 export interface StoredInstances {
   instances: Record<string, { meshUrl?: string | undefined }>;
 }
