--- a/packages/gateway/src/node/arrivalWatch.ts
+++ b/packages/gateway/src/node/arrivalWatch.ts
@@ -1,4 +1,4 @@
-/** Measures the lag of the callers' listener behind the arrival of requests. */
+/** Measures the lag of the callers' listener in reading requests after they arrive. */
 
 import type { IncomingMessage, Server } from 'node:http';
 import type { Socket } from 'node:net';
@@ -8,14 +8,17 @@
 const MS_PER_SECOND = 1_000;
 /** Milliseconds between measurements while no request arrives. */
 const MARK_INTERVAL_MS = 100;
-/** Milliseconds that a request may have been unread from which the instance counts as lagging. */
+/** Unread time of a request, in milliseconds, from which the instance counts as lagging. */
 const LAG_THRESHOLD_MS = 500;
 
 /** A connection from which no request was read yet. */
 interface NewConnection {
   /** Earliest time at which it can have been opened. */
   earliest: number;
-  /** The same under the assumption that no other connections waited to be accepted before it. */
+  /**
+   * The same, assuming that no other connection was waiting to be accepted before it. Whether one was
+   * cannot be determined.
+   */
   ifNoneWaited: number;
 }
 
--- a/packages/gateway/src/node/entryService.ts
+++ b/packages/gateway/src/node/entryService.ts
@@ -1,4 +1,4 @@
-/** HTTP listener for callers: decodes, routes and runs each request, and reports readiness. */
+/** HTTP listener for callers: decodes, routes and runs each request, and decides on readiness. */
 
 import type { Refusal, Route, RouteTable, RoutedAccount } from '@flamingocourse/core';
 import type { Kernel } from '@flamingocourse/kernel';
--- a/packages/gateway/src/node/requestFlow.ts
+++ b/packages/gateway/src/node/requestFlow.ts
@@ -202,7 +202,7 @@
   return status !== undefined && status >= 200 && status < 300;
 }
 
-/** Returns `retryAfterMs` of a refusal; while all servers pause, at least the rest of the pause. */
+/** Returns `retryAfterMs` of a refusal; while all servers pause, not before a pause ends. */
 function retryAfterMs({ lane: { pool } }: BackendLane, now: number): number {
   const restMs = pool.hasOpenServer(undefined, now) ? undefined : pool.restEndsInMs(now);
   return Math.max(NO_SERVER_RETRY_MS, Math.ceil(restMs ?? 0));
--- a/packages/gateway/src/node/serverAttempt.ts
+++ b/packages/gateway/src/node/serverAttempt.ts
@@ -78,10 +78,10 @@
     const opened = await this.#open();
     if (opened.isErr) return this.#failToOpen(opened.error);
     this.#placement.heard();
-    this.#learnLoad(opened.value);
+    this.#recordLoad(opened.value);
     const verdict = this.#parts.context.dialects.servers.judge(this.#call.head, opened.value.head);
     // a response from another server says nothing about this one.
-    if (verdict === 'answered' || verdict === 'not-run') this.#learnNotice(opened.value);
+    if (verdict === 'answered' || verdict === 'not-run') this.#recordNotice(opened.value);
     switch (verdict) {
       case 'answered':
         this.#progress.mayHaveRun += 1;
@@ -129,8 +129,8 @@
   }
 
   /**
-   * Timeout for the response head, in milliseconds; undefined on the last attempt, which the
-   * deadline ends.
+   * Timeout for the response head, in milliseconds; undefined if no retry can follow, so that only
+   * the deadline applies.
    */
   #headMs(): number | undefined {
     const { route, endsAt } = this.#call;
@@ -230,14 +230,14 @@
     return mayFollow(failed, historyOf(this.#call, this.#progress, this.#now()));
   }
 
-  #learnLoad(open: OpenAnswer): void {
+  #recordLoad(open: OpenAnswer): void {
     const load = this.#parts.context.dialects.servers.load(open.head);
     const now = this.#now();
     const { id } = this.#placement.server;
     if (load) this.#lane.lane.pool.reportLoad(id, { ...load, at: now }, now);
   }
 
-  #learnNotice({ head }: OpenAnswer): void {
+  #recordNotice({ head }: OpenAnswer): void {
     learnNotice(this.#parts.context, this.#placement.server, head);
   }
 
--- a/packages/gateway/src/runtime/attemptJudgement.ts
+++ b/packages/gateway/src/runtime/attemptJudgement.ts
@@ -28,7 +28,7 @@
   leftMs: number;
 }
 
-/** Attempts that no server ran after which the request is refused. */
+/** Maximum attempts of one request that no server ran; after these it is refused. */
 const MAX_UNRUN = 4;
 /** Milliseconds below which a retry cannot get a response before the deadline. */
 const MIN_LEFT_MS = 20;
--- a/packages/gateway/src/runtime/enginePriority.ts
+++ b/packages/gateway/src/runtime/enginePriority.ts
@@ -2,9 +2,9 @@
 
 import type { GenerationSize } from '../types/call.js';
 
-/** Priority of requests with at most `maxPromptTokens` prompt tokens; 0 is admitted first. */
+/** Priority of requests with at most `maxTokens` prompt tokens; 0 is admitted first. */
 interface PriorityStep {
-  maxPromptTokens: number;
+  maxTokens: number;
   priority: number;
 }
 
@@ -15,11 +15,11 @@
  * The steps follow the sizes of chats, drafts and digests.
  */
 const STEPS: readonly PriorityStep[] = [
-  { maxPromptTokens: 1_000, priority: 1 },
-  { maxPromptTokens: 2_500, priority: 2 },
-  { maxPromptTokens: 6_000, priority: 3 },
-  { maxPromptTokens: 10_000, priority: 4 },
-  { maxPromptTokens: 16_000, priority: 5 },
+  { maxTokens: 1_000, priority: 1 },
+  { maxTokens: 2_500, priority: 2 },
+  { maxTokens: 6_000, priority: 3 },
+  { maxTokens: 10_000, priority: 4 },
+  { maxTokens: 16_000, priority: 5 },
 ];
 const LONGEST_PRIORITY = 6;
 
@@ -30,8 +30,5 @@
  * enginePriority({ prompt: 543, most: 80 }); // 1
  */
 export function enginePriority(size: GenerationSize): number {
-  return (
-    STEPS.find(({ maxPromptTokens }) => size.prompt <= maxPromptTokens)?.priority ??
-    LONGEST_PRIORITY
-  );
+  return STEPS.find(({ maxTokens }) => size.prompt <= maxTokens)?.priority ?? LONGEST_PRIORITY;
 }
--- a/packages/gateway/src/types/gatewaySettings.ts
+++ b/packages/gateway/src/types/gatewaySettings.ts
@@ -32,7 +32,7 @@
     /** Milliseconds between two reports of spent tokens. */
     reportMs: number;
     /**
-     * Seconds of demand that an instance holds tokens for, to keep serving while it is partitioned.
+     * Seconds of its demand that an instance holds in tokens, to keep serving while partitioned.
      */
     rideThroughSeconds: number;
     /** Whether a request that returned nothing to the account is charged for its prompt. */
