--- a/packages/router/src/node/money/billLines.ts
+++ b/packages/router/src/node/money/billLines.ts
@@ -1,14 +1,14 @@
-/** Lines that bill one request. */
+/** Journal lines that bill one request. */
 
 import type { Bill, EpochMs, JournalChange, Outcome, TicketId, Tokens } from '@flamingocourse/core';
 import type { BillDetails, Reservation } from '../../types/money.js';
 
-/** Largest answer kept for retries, in characters of base64. */
+/** Largest answer body stored for retries, in characters of base64. */
 const MAX_OUTCOME_BODY = 32_768;
 
 /**
- * The bill, at most what was reserved, and after it the answer to keep. The bill goes first: an
- * outcome marks the ticket as done, and a done ticket is not billed any more.
+ * Creates the bill, at most the reserved amount, and after it the outcome when there is one. The bill
+ * comes first: an outcome marks the ticket as done, and a done ticket cannot be billed.
  */
 export function billChanges(
   reservation: Reservation,
@@ -19,7 +19,7 @@
 ): JournalChange[] {
   const bill: Bill = {
     ...details,
-    cost: wholeCost(details.cost, reservation.amount),
+    cost: boundedCost(details.cost, reservation.amount),
     holder: ticket.issuer,
     ticket: ticket.number,
     account: reservation.account,
@@ -33,8 +33,11 @@
   ];
 }
 
-/** The journal refuses other amounts, and a refused line would hold up all lines after it. */
-function wholeCost(cost: Tokens, most: Tokens): Tokens {
+/**
+ * Rounds a cost up to whole tokens and limits it to the reserved amount. The journal refuses other
+ * amounts, and a refused line would block all lines after it.
+ */
+function boundedCost(cost: Tokens, most: Tokens): Tokens {
   return Math.max(0, Math.min(Math.ceil(cost), most));
 }
 
--- a/packages/router/src/node/money/claimKeeper.ts
+++ b/packages/router/src/node/money/claimKeeper.ts
@@ -1,4 +1,4 @@
-/** Claims on callers' idempotency keys, grouped into few writes per claim page. */
+/** Claims on the idempotency keys of callers. Claims on the same page share writes. */
 
 import type { Claim, ClaimPage, ClaimResult, TicketId } from '@flamingocourse/core';
 import type { Clock, EventLog } from '@flamingocourse/kernel';
@@ -16,17 +16,20 @@
 import { Result } from 'true-myth';
 import { GroupWriter } from './groupWriter.js';
 
-/** Claims on one page, about 0.8 MB; the platform takes values up to a megabyte. */
+/** Most claims on one page, about 0.8 MB. The platform accepts values up to 1 MB. */
 const MAX_CLAIMS_PER_PAGE = 4_000;
 
-/** Time for which a key is remembered; docs/CALLERS.md promises it. */
+/** Time in milliseconds for which a claim is stored. docs/CALLERS.md promises it to callers. */
 export const CLAIM_LIFETIME_MS = 15 * 60 * 1_000;
 
-/** Ended tickets whose claims are still to be given up; beyond this the oldest wait for their router's end. */
-const MAX_ENDED = 4_096;
+/**
+ * Most releases that wait to be written. Beyond this the oldest is dropped, and its claim stays until
+ * the router that made it ends.
+ */
+const MAX_UNRELEASED = 4_096;
 
-/** What a claim keeper is created with. */
-export interface ClaimKeeperOptions {
+/** Options of {@link ClaimStore}. */
+export interface ClaimStoreOptions {
   store: ObjectStore;
   clock: Clock;
   pages: number;
@@ -35,69 +38,72 @@
   onFailure: (err: unknown) => void;
 }
 
-/** A claim whose ticket has ended without a bill. */
-interface EndedClaim {
+/** A claim whose ticket ended without a bill and whose release is not written yet. */
+interface UnreleasedClaim {
   keyDigest: string;
   bodyDigest: string;
   ticket: TicketId;
 }
 
-/** Claims of this router. */
-export class ClaimKeeper {
-  readonly #options: ClaimKeeperOptions;
+/** Writes and releases the claims of this router. */
+export class ClaimStore {
+  readonly #options: ClaimStoreOptions;
   readonly #writers = new Map<number, GroupWriter<ClaimPage, never>>();
-  /** Claims to give up, by key and ticket. */
-  readonly #ended = new Map<string, EndedClaim>();
+  /** Claims to release, by key and ticket. */
+  readonly #unreleased = new Map<string, UnreleasedClaim>();
 
-  constructor(options: ClaimKeeperOptions) {
+  constructor(options: ClaimStoreOptions) {
     this.#options = options;
   }
 
-  /** Binds a key to a ticket. */
+  /** Claims a key for a ticket. */
   claim(keyDigest: string, bodyDigest: string, ticket: TicketId): Promise<ClaimAnswer> {
     const wanted: Claim = { ticket, bodyDigest, at: this.#options.clock.now() };
     return this.#change(keyDigest, (page) => claim(page, keyDigest, wanted));
   }
 
-  /** Moves a claim from a ticket that provably was not billed. */
+  /** Moves a claim to another ticket. The ticket `from` is known never to be billed. */
   takeOver(keyDigest: string, from: TicketId, to: TicketId): Promise<ClaimAnswer> {
     const now = this.#options.clock.now();
     return this.#change(keyDigest, (page) => takeOver(page, keyDigest, from, to, now));
   }
 
-  /** Gives up what a ticket without a bill may have claimed, now or once the platform answers. */
-  giveUp(keyDigest: string, bodyDigest: string, ticket: TicketId): void {
+  /**
+   * Releases a claim that a ticket without a bill may have. The release is written now, or at a later
+   * tick while the platform does not answer.
+   */
+  release(keyDigest: string, bodyDigest: string, ticket: TicketId): void {
     const name = `${keyDigest} ${ticketName(ticket)}`;
-    this.#ended.set(name, { keyDigest, bodyDigest, ticket });
-    const [oldest] = this.#ended.keys();
-    if (this.#ended.size > MAX_ENDED && oldest !== undefined) this.#drop(oldest);
-    void this.#tell(name);
+    this.#unreleased.set(name, { keyDigest, bodyDigest, ticket });
+    const [oldest] = this.#unreleased.keys();
+    if (this.#unreleased.size > MAX_UNRELEASED && oldest !== undefined) this.#dropRelease(oldest);
+    void this.#writeRelease(name);
   }
 
-  /** Gives up again what could not be told yet. */
+  /** Retries the releases that are not written yet. */
   async tick(): Promise<void> {
-    await Promise.all([...this.#ended.keys()].map((name) => this.#tell(name)));
+    await Promise.all([...this.#unreleased.keys()].map((name) => this.#writeRelease(name)));
   }
 
-  async #tell(name: string): Promise<void> {
-    const ended = this.#ended.get(name);
-    if (!ended) return;
-    const { keyDigest, bodyDigest, ticket } = ended;
+  async #writeRelease(name: string): Promise<void> {
+    const unreleased = this.#unreleased.get(name);
+    if (!unreleased) return;
+    const { keyDigest, bodyDigest, ticket } = unreleased;
     const claimed = { ticket, bodyDigest, at: this.#options.clock.now() };
     const written = await this.#writer(keyDigest).change((page) => {
       const pruned = this.#pruned(page);
       const hasRoom = !isFull(pruned) || keyDigest in pruned.claims;
       return Result.ok(hasRoom ? giveUp(pruned, keyDigest, claimed) : page);
     });
-    if (written.isOk) this.#ended.delete(name);
+    if (written.isOk) this.#unreleased.delete(name);
   }
 
-  #drop(name: string): void {
-    this.#ended.delete(name);
-    this.#options.log.write('claim-kept-open', { claim: name, waiting: this.#ended.size });
+  #dropRelease(name: string): void {
+    this.#unreleased.delete(name);
+    this.#options.log.write('claim-kept-open', { claim: name, waiting: this.#unreleased.size });
   }
 
-  /** Ends all writers. */
+  /** Writes the queued changes and stops all writers. */
   async stop(): Promise<void> {
     await Promise.all([...this.#writers.values()].map((writer) => writer.stop()));
   }
@@ -106,12 +112,12 @@
     let answer: ClaimAnswer = { type: 'unreachable' };
     const written = await this.#writer(keyDigest).change((page) => {
       const pruned = this.#pruned(page);
-      // a young claim dropped for want of room would let a retry run its request a second time; a
-      // full page therefore takes no new key, and the caller is told to use a ticket.
+      // A full page accepts no new key, and the caller is advised to use a ticket. Dropping a recent
+      // claim to make room would let a retry run its request a second time.
       if (isFull(pruned) && !(keyDigest in pruned.claims)) return Result.ok(page);
       const decided = decide(pruned);
       answer = decided.answer;
-      // what was only pruned is not worth a write.
+      // Pruning alone does not justify a write.
       return Result.ok(decided.answer.type === 'own' ? decided.page : page);
     });
     return written.isOk ? answer : { type: 'unreachable' };
--- a/packages/router/src/node/money/demandBook.ts
+++ b/packages/router/src/node/money/demandBook.ts
@@ -1,4 +1,4 @@
-/** Demand of a data centre per account, seen from the spend that its journal shows. */
+/** Estimates the token demand per account, in tokens per second. */
 
 import type {
   AccountId,
@@ -9,12 +9,15 @@
 } from '@flamingocourse/core';
 import { NO_DEMAND, currentDemand, observeDemand } from '@flamingocourse/core';
 
-/** Estimates by account. */
-export class DemandBook {
+/**
+ * Demand estimates by account, from the spend in a journal ({@link DemandTracker.observe}) or from
+ * requested amounts ({@link DemandTracker.add}).
+ */
+export class DemandTracker {
   readonly #estimates = new Map<AccountId, DemandEstimate>();
   readonly #spent = new Map<AccountId, Tokens>();
 
-  /** Counts what was spent since the last look. */
+  /** Adds the tokens that were spent since the last observed journal. */
   observe(journal: JournalState, now: EpochMs): void {
     for (const [account, { spent }] of Object.entries(journal.accounts)) {
       this.add(account, spent - (this.#spent.get(account) ?? spent), now);
@@ -22,13 +25,13 @@
     }
   }
 
-  /** Counts tokens that were asked for. */
+  /** Adds an amount to the demand of an account. */
   add(account: AccountId, amount: Tokens, now: EpochMs): void {
     const estimate = this.#estimates.get(account) ?? NO_DEMAND;
     this.#estimates.set(account, observeDemand(estimate, amount, now));
   }
 
-  /** Tokens a second, as of now. */
+  /** Returns the current demand in tokens per second. */
   rate(account: AccountId, now: EpochMs): number {
     return currentDemand(this.#estimates.get(account) ?? NO_DEMAND, now);
   }
--- a/packages/router/src/node/money/groupWriter.ts
+++ b/packages/router/src/node/money/groupWriter.ts
@@ -1,10 +1,10 @@
 /**
- * Changes one platform object by conditional update, many changes in one write.
+ * Group commit: changes one platform object by conditional update, with many changes per write.
  *
- * A change is a function of the state and must be idempotent: when a write conflicts, or its reply
- * is lost and it may or may not have taken effect, the object is read again and the change is made
- * on what was read. A change that does nothing on the copy at hand is not checked against the store:
- * whoever decides from levels that others move refreshes first.
+ * A change is a function of the state and must be idempotent. When a write conflicts, or its reply is
+ * lost and it may or may not have taken effect, the object is read again and the change is applied to
+ * the new state. A change that has no effect on the local copy is not checked against the store.
+ * Callers whose decision depends on values that other routers change call `refresh` first.
  */
 
 import type { ObjectStore, StoredObject, StoreError } from '../../types/moneyPorts.js';
@@ -14,47 +14,47 @@
 import { Result } from 'true-myth';
 import { delay } from './timing.js';
 
-/** Writes of one batch before it is given up; each loss means that another router wrote. */
+/** Most writes of one batch. A conflict means that another router wrote in between. */
 const MAX_ATTEMPTS = 8;
 
-/** Changes that may wait for a write. */
+/** Most changes that wait for a write. */
 const MAX_QUEUE = 2_000;
 
-/** Wait after a lost race, times the number of the attempt, in milliseconds. */
+/** Delay after a conflict in milliseconds, multiplied by the number of failed retries. */
 const RETRY_STEP_MS = 5;
 
-/** State of the object with the version that it was stored as. */
-export interface Written<S> {
+/** State of the object and the version under which it is stored. */
+export interface VersionedState<S> {
   version: string;
   state: S;
 }
 
-/** Why a change was not made; after `unreachable` it may have been. */
+/** Why a change failed. After `unreachable` it may still have been stored. */
 export type WriteFault<F> =
-  { type: 'refused'; fault: F } | { type: 'unreachable' | 'too-large' | 'unsound' | 'busy' };
+  { type: 'refused'; fault: F } | { type: 'unreachable' | 'too-large' | 'invalid-state' | 'busy' };
 
-/** A change of the state; gives the same object when there is nothing to change. */
+/** Returns the changed state, or the same object when nothing changes. */
 export type Mutate<S, F> = (state: S) => Result<S, F>;
 
-/** What a writer is created with. */
+/** Options of {@link GroupWriter}. */
 export interface GroupWriterOptions<S> {
   store: ObjectStore;
   collection: string;
   name: string;
-  /** State of an object that does not exist yet. */
+  /** Creates the state of an object that does not exist yet. */
   initial: () => S;
-  /** Time over which changes are gathered, in milliseconds. */
+  /** Time for which changes are collected before a write, in milliseconds. */
   groupMs: number;
-  /** Names what is wrong with a state that must not be written. */
-  findFault?: (state: S) => string | undefined;
-  /** Called with each newer state that was read or written. */
-  onState?: (written: Written<S>) => void;
+  /** Describes the violated invariant of a state that must not be written. */
+  findInvariantViolation?: (state: S) => string | undefined;
+  /** Called with each newer state that is read or written. */
+  onState?: (written: VersionedState<S>) => void;
   onFailure: (err: unknown) => void;
 }
 
-interface Job<S, F> {
+interface PendingChange<S, F> {
   mutate: Mutate<S, F>;
-  settle: (result: Result<Written<S>, WriteFault<F>>) => void;
+  settle: (result: Result<VersionedState<S>, WriteFault<F>>) => void;
 }
 
 /**
@@ -66,8 +66,8 @@
 export class GroupWriter<S, F> {
   readonly #options: GroupWriterOptions<S>;
   readonly #wake = new Channel<true>(1, 'drop-newest');
-  #queue: Job<S, F>[] = [];
-  #latest: Written<S> | undefined;
+  #queue: PendingChange<S, F>[] = [];
+  #latest: VersionedState<S> | undefined;
   #reachable = true;
   #done: Promise<void> | undefined;
 
@@ -75,8 +75,8 @@
     this.#options = options;
   }
 
-  /** Newest state that was read or written. */
-  get latest(): Written<S> | undefined {
+  /** Newest state that was read or written, if any. */
+  get latest(): VersionedState<S> | undefined {
     return this.#latest;
   }
 
@@ -85,19 +85,19 @@
     return this.#reachable;
   }
 
-  /** Begins to take changes. */
+  /** Starts writing queued changes. */
   start(): void {
     this.#done ??= startProcess(() => this.#run(), this.#options.onFailure);
   }
 
-  /** Writes what is queued and ends. */
+  /** Writes the queued changes and stops. */
   async stop(): Promise<void> {
     this.#wake.close();
     await this.#done;
   }
 
-  /** Makes a change together with others; resolves once it is stored, or is known not to be. */
-  change(mutate: Mutate<S, F>): Promise<Result<Written<S>, WriteFault<F>>> {
+  /** Applies a change in one write with others. Resolves once it is stored or has failed. */
+  change(mutate: Mutate<S, F>): Promise<Result<VersionedState<S>, WriteFault<F>>> {
     if (this.#queue.length >= MAX_QUEUE || this.#wake.closed) {
       return Promise.resolve(Result.err({ type: 'busy' }));
     }
@@ -108,7 +108,7 @@
   }
 
   /** Reads the object again. */
-  async refresh(): Promise<Result<Written<S>, WriteFault<F>>> {
+  async refresh(): Promise<Result<VersionedState<S>, WriteFault<F>>> {
     const { store, collection, name } = this.#options;
     const read = await store.get(collection, name);
     if (read.isOk) return Result.ok(this.#accept(read.value));
@@ -125,60 +125,60 @@
       const woken = yield* take(this.#wake);
       if (this.#queue.length > 0) {
         if (woken) yield* sleep(this.#options.groupMs);
-        const jobs = this.#queue;
+        const changes = this.#queue;
         this.#queue = [];
-        yield* awaitPromise(this.#commit(jobs));
+        yield* awaitPromise(this.#commit(changes));
       }
       if (woken === undefined) return;
     }
   }
 
-  async #commit(jobs: Job<S, F>[]): Promise<void> {
+  async #commit(changes: PendingChange<S, F>[]): Promise<void> {
     for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
       const fresh = !this.#latest || attempt > 1;
       if (fresh) {
         const read = await this.refresh();
         if (read.isErr) {
-          settleAll(jobs, read.error);
+          settleAll(changes, read.error);
           return;
         }
       }
-      const ended = await this.#attempt(jobs, fresh);
-      if (ended) return;
+      const isDone = await this.#attempt(changes, fresh);
+      if (isDone) return;
       await delay(RETRY_STEP_MS * (attempt - 1));
     }
-    settleAll(jobs, { type: 'unreachable' });
+    settleAll(changes, { type: 'unreachable' });
   }
 
-  /** One try on the newest known state. Returns false when the object must be read again. */
-  async #attempt(jobs: Job<S, F>[], fresh: boolean): Promise<boolean> {
+  /** Attempts one write on the newest known state. Returns false when the object must be read again. */
+  async #attempt(changes: PendingChange<S, F>[], fresh: boolean): Promise<boolean> {
     const base = this.#latest;
     if (!base) return false;
-    const batch = applyJobs(base.state, jobs);
-    // a refusal may come from an old copy: judge only on what was just read.
+    const batch = applyChanges(base.state, changes);
+    // The local copy may be stale, so a change is refused only on a state that was just read.
     if (batch.refused.size > 0 && !fresh) return false;
-    const wrong = this.#options.findFault?.(batch.state);
-    if (wrong !== undefined) {
-      this.#options.onFailure(new Error(`${this.#options.collection}: ${wrong}`));
-      settleAll(jobs, { type: 'unsound' });
+    const violation = this.#options.findInvariantViolation?.(batch.state);
+    if (violation !== undefined) {
+      this.#options.onFailure(new Error(`${this.#options.collection}: ${violation}`));
+      settleAll(changes, { type: 'invalid-state' });
       return true;
     }
     const stored = await this.#store(base, batch.state);
     if (stored.isErr && stored.error.code === 'too-large') {
-      settleAll(jobs, { type: 'too-large' });
+      settleAll(changes, { type: 'too-large' });
       return true;
     }
     if (stored.isErr) return false;
-    for (const job of jobs) {
-      const fault = batch.refused.get(job);
-      job.settle(
+    for (const change of changes) {
+      const fault = batch.refused.get(change);
+      change.settle(
         fault === undefined ? Result.ok(stored.value) : Result.err({ type: 'refused', fault }),
       );
     }
     return true;
   }
 
-  async #store(base: Written<S>, state: S): Promise<Result<Written<S>, StoreError>> {
+  async #store(base: VersionedState<S>, state: S): Promise<Result<VersionedState<S>, StoreError>> {
     if (state === base.state) return Result.ok(base);
     const { store, collection, name } = this.#options;
     const updated = await store.update(collection, name, base.version, state);
@@ -189,10 +189,10 @@
     return Result.ok(this.#accept({ ...updated.value, value: state }));
   }
 
-  #accept(object: StoredObject): Written<S> {
+  #accept(object: StoredObject): VersionedState<S> {
     this.#reachable = true;
     const written = { version: object.version, state: object.value as S };
-    // two reads may overtake each other; an older one must not replace a newer one.
+    // Replies may arrive out of order. An older state must not replace a newer one.
     if (this.#latest && !isNewer(written.version, this.#latest.version)) return this.#latest;
     this.#latest = written;
     this.#options.onState?.(written);
@@ -205,17 +205,20 @@
   }
 }
 
-function applyJobs<S, F>(base: S, jobs: Job<S, F>[]): { state: S; refused: Map<Job<S, F>, F> } {
-  const refused = new Map<Job<S, F>, F>();
+function applyChanges<S, F>(
+  base: S,
+  changes: PendingChange<S, F>[],
+): { state: S; refused: Map<PendingChange<S, F>, F> } {
+  const refused = new Map<PendingChange<S, F>, F>();
   let state = base;
-  for (const job of jobs) {
-    const next = job.mutate(state);
+  for (const change of changes) {
+    const next = change.mutate(state);
     if (next.isOk) state = next.value;
-    else refused.set(job, next.error);
+    else refused.set(change, next.error);
   }
   return { state, refused };
 }
 
-function settleAll<S, F>(jobs: Job<S, F>[], fault: WriteFault<F>): void {
-  for (const job of jobs) job.settle(Result.err(fault));
+function settleAll<S, F>(changes: PendingChange<S, F>[], fault: WriteFault<F>): void {
+  for (const change of changes) change.settle(Result.err(fault));
 }
--- a/packages/router/src/node/money/holderSession.ts
+++ b/packages/router/src/node/money/holderSession.ts
@@ -1,4 +1,4 @@
-/** One incarnation of this router as a holder: its spending, its lines and its tickets. */
+/** One incarnation of this router as a holder: its spending, journal lines and tickets. */
 
 import type { AppendAnswer } from '../../types/moneyPorts.js';
 import type { Fleet } from '../../types/fleet.js';
@@ -11,49 +11,50 @@
   Tokens,
 } from '@flamingocourse/core';
 import type { WitnessStore } from './witnessStore.js';
-import type { AppendFault, JournalWriter, LineRoutes } from './lineRoutes.js';
+import type { AppendFault, JournalWriter, LineTransport } from './lineRoutes.js';
 import { Spender, pool, registerHolder } from '@flamingocourse/core';
 import { Result } from 'true-myth';
-import { delay, within } from './timing.js';
-import { DemandBook } from './demandBook.js';
+import { delay, withTimeout } from './timing.js';
+import { DemandTracker } from './demandBook.js';
 import { LineLog } from './lineLog.js';
 
 /**
- * Peers named as witnesses. Each more lets one more die in an outage, and one more must answer
- * before this holder's slices are free again.
+ * Number of peers used as witnesses. With each further witness, one more can fail during an outage
+ * without loss of lines, but one more must answer before this holder can be sealed and its slices
+ * become free.
  */
-const WITNESSES = 2;
+const WITNESS_COUNT = 2;
 
-/** Part of the level below which a slice is refilled. */
-const REFILL_BELOW = 0.5;
+/** Fraction of the target below which a slice is refilled. */
+const REFILL_BELOW_FRACTION = 0.5;
 
-/** Times the level above which a slice is given back in part. */
-const GIVE_ABOVE = 2;
+/** Multiple of the target above which the excess of a slice is returned to the pool. */
+const RETURN_ABOVE_FACTOR = 2;
 
-/** Longest wait for a line to be kept; beyond it the caller is told that it is not known. */
-const KEEP_TIMEOUT_MS = 5_000;
+/** Longest wait for a line to be kept, in milliseconds. After it the outcome counts as unknown. */
+const RECORD_TIMEOUT_MS = 5_000;
 
-/** Time between two looks at what the journal has while leaving, in milliseconds. */
-const LEAVE_POLL_MS = 10;
+/** Interval at which `close` checks whether the journal shows the holder closed, in milliseconds. */
+const CLOSE_POLL_MS = 10;
 
-/** What a session is created with. */
+/** Options of {@link HolderSession}. */
 export interface HolderSessionOptions {
   fleet: Fleet;
   writer: JournalWriter;
-  routes: LineRoutes;
+  transport: LineTransport;
   witnessAfterMs: number;
-  /** Earlier incarnations of this process. */
-  formerly: IncarnationId[];
+  /** Former incarnations of this process. */
+  formerIncarnations: IncarnationId[];
   onAnswer: (answer: AppendAnswer) => void;
   onSealed: () => void;
   onFailure: (err: unknown) => void;
 }
 
-/** Rights of one incarnation. */
+/** Session of one incarnation, from its registration in the journal until it is closed or sealed. */
 export class HolderSession {
   readonly spender: Spender;
   readonly log: LineLog;
-  readonly demand = new DemandBook();
+  readonly demand = new DemandTracker();
   readonly #options: HolderSessionOptions;
   #registered = false;
   #nextTicket = 1;
@@ -63,7 +64,7 @@
     this.spender = new Spender(options.fleet.self.incarnation);
     this.log = new LineLog({
       spender: this.spender,
-      routes: options.routes,
+      transport: options.transport,
       witnessAfterMs: options.witnessAfterMs,
       isPlatformUp: () => options.writer.reachable,
       onAnswer: options.onAnswer,
@@ -72,17 +73,17 @@
     });
   }
 
-  /** Whether the journal knows this incarnation and has not refused it. */
+  /** Whether this incarnation is registered in the journal and neither sealed nor closed. */
   get open(): boolean {
     return this.#registered && this.spender.open && !this.log.sealed;
   }
 
-  /** Writes this incarnation into the journal; repeated until it succeeds. */
+  /** Registers this incarnation in the journal. Returns false on failure; the caller then retries. */
   async register(now: number): Promise<boolean> {
-    const { writer, formerly } = this.#options;
-    const witnesses = this.#wantedWitnesses();
+    const { writer, formerIncarnations } = this.#options;
+    const witnesses = this.#chooseWitnesses();
     const written = await writer.change((state) =>
-      Result.ok(registerHolder(state, this.spender.holder, witnesses, now, formerly)),
+      Result.ok(registerHolder(state, this.spender.holder, witnesses, now, formerIncarnations)),
     );
     if (written.isErr) return false;
     this.#registered = true;
@@ -90,12 +91,12 @@
     return true;
   }
 
-  /** Takes in a newer journal; ends the session when the journal shows it sealed. */
+  /** Accepts a newer journal. Ends the session when the journal shows the holder as sealed. */
   sync(journal: JournalState): void {
     if (!this.#registered) return;
     this.spender.sync(journal);
     this.log.settleKept();
-    // a journal read before the registration lacks the holder; one after it says how it stands.
+    // A journal read before the registration does not contain the holder and says nothing about it.
     if (journal.holders[this.spender.holder] && !this.spender.open) this.log.seal();
   }
 
@@ -106,79 +107,84 @@
     return { issuer: this.spender.holder, number };
   }
 
-  /** Whether a line can be kept: in the journal, or at a witness that answers. */
-  get canKeep(): boolean {
+  /** Whether lines can be stored, either in the journal or at a witness that is alive. */
+  get canRecord(): boolean {
     if (this.#options.writer.reachable) return true;
     return this.spender.witnesses.some((one) => this.#isAlive(one));
   }
 
-  /** Names other witnesses when one of them is gone or more can be had. */
+  /** Replaces witnesses that are not alive, and adds some when too few are registered. */
   renewWitnesses(): void {
     if (!this.open || this.spender.changesWitnesses) return;
     const named = this.spender.witnesses.filter((one) => this.#isAlive(one));
-    const wanted = this.#wantedWitnesses(named);
+    const wanted = this.#chooseWitnesses(named);
     const isSame =
       wanted.length === this.spender.witnesses.length &&
       wanted.every((one) => this.spender.witnesses.includes(one));
     if (!isSame) void this.log.record([{ type: 'witnesses', witnesses: wanted }]);
   }
 
-  /** Takes tokens for an account when few are left, and gives back what lies idle. */
+  /** Refills the slice of an account when it is low and returns the excess when it is too large. */
   balance(account: string, journal: JournalState, policy: SlicePolicy, now: number): void {
     if (!this.open || this.#isTaking(account)) return;
-    const level = this.#level(account, journal, policy, now, 0);
+    const target = this.#sliceTarget(account, journal, policy, now, 0);
     const free = this.spender.free(account);
-    if (free < level * REFILL_BELOW) this.#take(account, level - free, journal);
-    if (free > level * GIVE_ABOVE && level > 0) void this.give(account, free - level);
+    if (free < target * REFILL_BELOW_FRACTION) this.#takeFromPool(account, target - free, journal);
+    if (free > target * RETURN_ABOVE_FACTOR && target > 0)
+      void this.returnToPool(account, free - target);
   }
 
   /**
-   * Takes tokens that a waiting request lacks. Gives how many the pool would need to have, when it
-   * has fewer.
+   * Takes tokens from the pool for waiting requests. When the pool has too few, returns the number
+   * of tokens that it needs; otherwise returns 0.
    */
-  takeFor(
+  takeForWaiting(
     account: string,
     amount: Tokens,
     journal: JournalState,
     policy: SlicePolicy,
     now: number,
   ): Tokens {
-    const lacking = amount - this.spender.free(account);
-    if (lacking <= 0 || this.#isTaking(account)) return 0;
-    const level = this.#level(account, journal, policy, now, amount);
-    this.#take(account, Math.max(lacking, level - this.spender.free(account)), journal);
-    return pool(journal, account) < lacking ? lacking : 0;
+    const shortfall = amount - this.spender.free(account);
+    if (shortfall <= 0 || this.#isTaking(account)) return 0;
+    const target = this.#sliceTarget(account, journal, policy, now, amount);
+    this.#takeFromPool(account, Math.max(shortfall, target - this.spender.free(account)), journal);
+    return pool(journal, account) < shortfall ? shortfall : 0;
   }
 
-  /** Gives free tokens back to the pool; resolves with the amount once the line is kept. */
-  async give(account: string, amount: Tokens): Promise<Tokens> {
+  /** Returns free tokens to the pool. Resolves with the amount once the line is kept. */
+  async returnToPool(account: string, amount: Tokens): Promise<Tokens> {
     const given = Math.floor(Math.min(amount, this.spender.free(account)));
     if (!this.open || given <= 0) return 0;
     const kept = await this.log.record([{ type: 'give', account, amount: given }]);
     return kept.isOk ? given : 0;
   }
 
-  /** Records changes; after a time the answer is that it is not known whether they are kept. */
+  /** Records changes. Resolves with `unreachable` when they are not kept within the timeout. */
   record(changes: JournalChange[]): Promise<Result<'kept', AppendFault>> {
     const late = Result.err<'kept', AppendFault>('unreachable');
-    return within(this.log.record(changes), KEEP_TIMEOUT_MS, late);
+    return withTimeout(this.log.record(changes), RECORD_TIMEOUT_MS, late);
   }
 
-  /** Gives everything back and closes the holder, unless the sealing of it has to do that. */
-  async leave(witness: WitnessStore): Promise<void> {
+  /**
+   * Returns all tokens and closes the holder. Leaves it to be sealed by a peer while requests still have
+   * reservations or while the witness still stores lines.
+   */
+  async close(witness: WitnessStore): Promise<void> {
     const { writer } = this.#options;
     if (!this.open) return;
     await witness.replay(writer);
-    await Promise.all(this.spender.accounts.map((one) => this.give(one, Infinity)));
-    // a closed witness is not asked for lines, so none of other holders may be left here.
-    if (!witness.empty || this.spender.reservedTokens() > 0) return;
+    await Promise.all(this.spender.accounts.map((one) => this.returnToPool(one, Infinity)));
+    // A sealer skips a closed witness, so this one must not store lines of other holders any more.
+    if (!witness.isEmpty || this.spender.reservedTokens() > 0) return;
     witness.close();
     await this.log.record([{ type: 'close' }]);
-    // kept at a witness is enough for the money; in the journal, peers need not seal this holder.
-    while (writer.reachable && !this.log.ended) await delay(LEAVE_POLL_MS);
+    // With the close line at a witness no tokens are lost. Once it is in the journal, no peer has to
+    // seal this holder.
+    while (writer.reachable && !this.log.ended) await delay(CLOSE_POLL_MS);
   }
 
-  #take(account: string, amount: Tokens, journal: JournalState): void {
+  #takeFromPool(account: string, amount: Tokens, journal: JournalState): void {
     if (amount <= 0 || pool(journal, account) <= 0) return;
     void this.log.record([{ type: 'take', account, amount }]);
   }
@@ -189,7 +195,7 @@
     );
   }
 
-  #level(
+  #sliceTarget(
     account: string,
     journal: JournalState,
     policy: SlicePolicy,
@@ -204,12 +210,12 @@
     });
   }
 
-  #wantedWitnesses(first: string[] = []): string[] {
+  #chooseWitnesses(first: string[] = []): string[] {
     const others = this.#options.fleet
       .localPeers()
       .map((peer) => peer.info.incarnation)
       .filter((one) => this.#isAlive(one) && !first.includes(one));
-    return [...first, ...others].slice(0, WITNESSES);
+    return [...first, ...others].slice(0, WITNESS_COUNT);
   }
 
   #isAlive(incarnation: string): boolean {
--- a/packages/router/src/node/money/ledgerPlan.ts
+++ b/packages/router/src/node/money/ledgerPlan.ts
@@ -1,4 +1,4 @@
-/** What one sync changes in a ledger page; pure, so that it can be repeated on a newer page. */
+/** Computes the changes of one sync to a ledger page. Pure, so it can be repeated on a newer page. */
 
 import type {
   AccountId,
@@ -20,39 +20,39 @@
   ungranted,
 } from '@flamingocourse/core';
 
-/** What a plan is made from. */
-export interface LedgerSituation {
+/** Input of {@link planPage}. `levels` is an output. */
+export interface LedgerPlanInput {
   state: JournalState;
-  /** Tokens that the pool would need to have for waiting requests. */
+  /** Tokens that the pool needs for waiting requests, by account. */
   shortfalls: Map<AccountId, Tokens>;
   policy: SlicePolicy;
-  /** Tokens a second of this data centre. */
+  /** Demand of this data centre for an account, in tokens per second. */
   demand: (account: AccountId) => number;
   rideThroughSeconds: number;
   dataCentres: number;
   now: EpochMs;
-  /** Whether tokens are fetched too; not when some were just handed back for others. */
+  /** Whether tokens may be granted. False right after tokens were returned for other data centres. */
   refills: boolean;
-  /** Whether an account's tokens are left to another data centre at the moment. */
+  /** Whether refills of an account are paused so that another data centre gets its tokens. */
   yields: (account: AccountId) => boolean;
-  /** Filled in: unspent tokens that the data centre should hold. */
+  /** Filled in by the plan: unspent tokens that the data centre should hold, by account. */
   levels: Map<AccountId, Tokens>;
 }
 
-/** Part of a level below which more is fetched; avoids a write for each small spend. */
-const REFILL_BELOW = 0.75;
+/** Fraction of the target below which tokens are granted. Avoids a write for each small spend. */
+const REFILL_BELOW_FRACTION = 0.75;
 
-/** Opens declared accounts, copies the journal's counters and grants what the level asks for. */
+/** Opens declared accounts, copies the counters of the journal and grants tokens up to the target. */
 export function planPage(
   page: LedgerPage,
   accounts: ClientAccountDeclaration[],
-  situation: LedgerSituation,
+  input: LedgerPlanInput,
 ): LedgerPage {
   let next = page;
   for (const { name, openingTokens } of accounts) {
-    next = openAccount(next, name, openingTokens, situation.now);
-    next = copyCounters(next, name, situation.state);
-    if (situation.refills) next = refill(next, name, situation);
+    next = openAccount(next, name, openingTokens, input.now);
+    next = copyCounters(next, name, input.state);
+    if (input.refills) next = refill(next, name, input);
   }
   return next;
 }
@@ -65,26 +65,26 @@
   return mergeSpent(returned, account, state.dataCentre, spent, spentByClass);
 }
 
-function refill(page: LedgerPage, account: AccountId, situation: LedgerSituation): LedgerPage {
+function refill(page: LedgerPage, account: AccountId, input: LedgerPlanInput): LedgerPage {
   const entry = page.accounts[account];
   if (!entry) return page;
-  const { state, policy } = situation;
+  const { state, policy } = input;
   const share = shareOf(entry, state.dataCentre);
   const held = share.grantedIn - share.returnedOut - share.spent;
-  const shortfall = (situation.shortfalls.get(account) ?? 0) - pool(state, account);
-  const level = policy.grantTarget({
-    demandPerSecond: situation.demand(account),
-    rideThroughSeconds: situation.rideThroughSeconds,
+  const shortfall = (input.shortfalls.get(account) ?? 0) - pool(state, account);
+  const target = policy.grantTarget({
+    demandPerSecond: input.demand(account),
+    rideThroughSeconds: input.rideThroughSeconds,
     remaining: remainingOf(entry),
-    dataCentres: situation.dataCentres,
+    dataCentres: input.dataCentres,
     shortfall: 0,
   });
-  // what waiting requests lack is no surplus, though it stands above the level.
-  situation.levels.set(account, Math.max(level, situation.shortfalls.get(account) ?? 0));
-  // with enough for a level everywhere there is nothing to leave to another data centre.
-  const yields = situation.yields(account) && ungranted(entry) < level * situation.dataCentres;
-  const isLow = held < level * REFILL_BELOW && !yields;
-  const wanted = Math.max(isLow ? level - held : 0, shortfall);
+  // Tokens for waiting requests are no surplus, although they exceed the target.
+  input.levels.set(account, Math.max(target, input.shortfalls.get(account) ?? 0));
+  // No pause is needed while the ledger can still grant the target to every data centre.
+  const isPaused = input.yields(account) && ungranted(entry) < target * input.dataCentres;
+  const isLow = held < target * REFILL_BELOW_FRACTION && !isPaused;
+  const wanted = Math.max(isLow ? target - held : 0, shortfall);
   return wanted > 0 ? grant(page, account, state.dataCentre, wanted) : page;
 }
 
--- a/packages/router/src/node/money/lineLog.ts
+++ b/packages/router/src/node/money/lineLog.ts
@@ -1,32 +1,32 @@
 /**
- * Keeps the lines of one holder: in the journal, or, when that takes long, in a witness's memory.
- * Whoever records a line waits here until it is kept.
+ * Stores the journal lines of one holder: in the journal or, when that takes too long, in the memory
+ * of a witness. A line is kept once it is in either place, and its recorder waits until then.
  */
 
-import type { AppendFault, LineRoutes } from './lineRoutes.js';
+import type { AppendFault, LineTransport } from './lineRoutes.js';
 import type { AppendAnswer } from '../../types/moneyPorts.js';
 import type { JournalChange, Spender } from '@flamingocourse/core';
 import type { Steps } from '@flamingocourse/kernel';
 import { Channel, awaitPromise, sleep, startProcess, take } from '@flamingocourse/kernel';
 import { Result } from 'true-myth';
 
-/** Lines sent in one message; more wait for the next. */
+/** Most lines in one append. Further lines wait for the next append. */
 const MAX_LINES_PER_APPEND = 500;
 
-/** Wait before the journal is tried again, in milliseconds. */
+/** Delay before the journal or the witnesses are tried again, in milliseconds. */
 const RETRY_MS = 100;
 
 /** What a line log is created with. */
 export interface LineLogOptions {
   spender: Spender;
-  routes: LineRoutes;
-  /** Wait for the journal before the witnesses are asked too, in milliseconds. */
+  transport: LineTransport;
+  /** Time to wait for the journal before the witnesses are also asked, in milliseconds. */
   witnessAfterMs: number;
-  /** Whether the platform answered when it was last asked. */
+  /** Whether the platform answered the last call. */
   isPlatformUp: () => boolean;
-  /** Called with each journal that came with the answer to an append. */
+  /** Called with the journal that each successful append returns. */
   onAnswer: (answer: AppendAnswer) => void;
-  /** Called once when the journal refuses this holder for good. */
+  /** Called once when the holder turns out to be sealed. */
   onSealed: () => void;
   onFailure: (err: unknown) => void;
 }
@@ -51,17 +51,17 @@
     void startProcess(() => this.#witnessLoop(), options.onFailure);
   }
 
-  /** Whether this holder was refused for good. */
+  /** Whether the holder is sealed, so that no more lines are accepted. */
   get sealed(): boolean {
     return this.#sealed;
   }
 
-  /** Whether the loops have been ended. */
+  /** Whether the log was closed. */
   get ended(): boolean {
     return this.#toJournal.closed;
   }
 
-  /** Appends changes as lines and resolves once all of them are kept. */
+  /** Records changes as lines and resolves once all of them are kept. */
   record(changes: JournalChange[]): Promise<Result<'kept', AppendFault>> {
     const { spender } = this.#options;
     if (this.#sealed) return Promise.resolve(Result.err('sealed'));
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Settles what the spender's newest journal shows as kept. */
+  /** Resolves the waiters whose lines are in the spender's newest journal or at a witness. */
   settleKept(): void {
     const keptSeq = Math.max(this.#options.spender.appliedSeq, this.#witnessedSeq);
     const settled = this.#waiters.filter((waiter) => waiter.seq <= keptSeq);
@@ -82,7 +82,7 @@
     for (const waiter of settled) waiter.settle(Result.ok('kept'));
   }
 
-  /** Ends the log of a holder that was sealed: nothing more can be kept. */
+  /** Closes the log of a sealed holder and fails all waiters: no more lines can be stored. */
   seal(): void {
     if (this.#sealed) return;
     this.#sealed = true;
@@ -92,7 +92,7 @@
     this.#options.onSealed();
   }
 
-  /** Ends the loops; lines that are not kept stay so. */
+  /** Ends the loops once the waiting lines are stored or an attempt to store them fails. */
   close(): void {
     this.#toJournal.close();
     this.#toWitness.close();
@@ -109,10 +109,10 @@
   }
 
   async #append(): Promise<boolean> {
-    const { spender, routes } = this.#options;
+    const { spender, transport } = this.#options;
     const lines = spender.unapplied.slice(0, MAX_LINES_PER_APPEND);
     const before = spender.appliedSeq;
-    const answer = await routes.append(lines);
+    const answer = await transport.append(lines);
     if (answer.isErr) {
       if (answer.error === 'sealed') this.seal();
       return false;
@@ -120,7 +120,7 @@
     spender.sync(answer.value.state);
     this.#options.onAnswer(answer.value);
     this.settleKept();
-    // an answer that shows nothing new must not make the loop spin.
+    // Without progress this returns false, so that the loop waits before it tries again.
     return spender.appliedSeq > before;
   }
 
@@ -129,19 +129,19 @@
       while (!this.#sealed && this.#waiters.length > 0) {
         if (this.#options.isPlatformUp()) yield* sleep(this.#options.witnessAfterMs);
         if (this.#waiters.length === 0) break;
-        const kept = yield* awaitPromise(this.#keep());
+        const kept = yield* awaitPromise(this.#keepAtWitness());
         if (!kept && this.#toWitness.closed) return;
         if (!kept) yield* sleep(RETRY_MS);
       }
     }
   }
 
-  async #keep(): Promise<boolean> {
-    const { spender, routes } = this.#options;
+  async #keepAtWitness(): Promise<boolean> {
+    const { spender, transport } = this.#options;
     const lines = [...spender.unapplied];
     const last = lines.at(-1)?.seq ?? 0;
-    const kept = await routes.keep(spender.witnesses, lines);
-    // a seal that was learnt meanwhile has settled the waiters already.
+    const kept = await transport.keepAtWitness(spender.witnesses, lines);
+    // If the holder was found sealed in the meantime, the waiters have already failed.
     if (!kept || this.#sealed) return false;
     this.#witnessedSeq = Math.max(this.#witnessedSeq, last);
     this.settleKept();
--- a/packages/router/src/node/money/lineRoutes.ts
+++ b/packages/router/src/node/money/lineRoutes.ts
@@ -1,4 +1,4 @@
-/** Ways on which a holder's lines reach the journal and its witnesses. */
+/** Sends the journal lines of a holder to the journal and to its witnesses. */
 
 import type { AppendAnswer, MoneyPeers, PeerFault } from '../../types/moneyPorts.js';
 import type { Fleet } from '../../types/fleet.js';
@@ -7,16 +7,23 @@
 import { applyLines } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 
+/** Writer of the journal of a data centre. */
 export type JournalWriter = GroupWriter<JournalState, JournalFault>;
 
-/** Why lines are not in the journal: refused for good, or not known to be in it. */
+/**
+ * Why an append failed. With `sealed` the journal will never accept lines of this holder again; with
+ * `unreachable` the lines may or may not be stored.
+ */
 export type AppendFault = 'sealed' | 'unreachable';
 
-/** Key under which the committer of a data centre's journal is chosen. */
+/** Key by which the fleet chooses the committer of a data centre's journal. */
 const COMMITTER_KEY = 'journal';
 
-/** Routes of this router. */
-export class LineRoutes {
+/**
+ * Line transport of this router. One router of each data centre, the committer, appends the lines of
+ * all routers there; a router whose committer does not answer appends its lines itself.
+ */
+export class LineTransport {
   readonly #fleet: Fleet;
   readonly #peers: MoneyPeers;
   readonly #writer: JournalWriter;
@@ -27,7 +34,7 @@
     this.#writer = writer;
   }
 
-  /** Puts lines into the journal by way of the committer, or by an own write. */
+  /** Appends lines through the committer. Writes them itself when the committer fails. */
   async append(lines: JournalLine[]): Promise<Result<AppendAnswer, AppendFault>> {
     const committer = this.#fleet.localOwner(COMMITTER_KEY).incarnation;
     if (committer !== this.#fleet.self.incarnation) {
@@ -39,14 +46,14 @@
     return Result.err(isFinal(written.error) ? 'sealed' : 'unreachable');
   }
 
-  /** Puts lines into the journal by an own write. */
+  /** Appends lines to the journal directly. */
   async write(
     lines: readonly JournalLine[],
   ): Promise<Result<AppendAnswer, WriteFault<JournalFault>>> {
     return this.#writer.change((state) => applyLines(state, lines));
   }
 
-  /** Answers a peer that has chosen this router as the committer. */
+  /** Appends lines on behalf of a peer that has chosen this router as the committer. */
   async commitFor(lines: JournalLine[]): Promise<Result<AppendAnswer, PeerFault>> {
     const written = await this.write(lines);
     if (written.isErr)
@@ -55,8 +62,8 @@
     return Result.ok({ version: written.value.version, state });
   }
 
-  /** Asks the witnesses in turn; one that keeps the lines is enough. */
-  async keep(witnesses: IncarnationId[], lines: JournalLine[]): Promise<boolean> {
+  /** Asks the witnesses in turn to store lines. Stops at the first that does and returns whether one did. */
+  async keepAtWitness(witnesses: IncarnationId[], lines: JournalLine[]): Promise<boolean> {
     for (const witness of witnesses) {
       const kept = await this.#peers.keepLines(witness, lines);
       if (kept.isOk) return true;
@@ -65,7 +72,7 @@
   }
 }
 
-/** A holder that was sealed, or pruned after it, can never write again. */
+/** Whether the holder was sealed, or pruned after its sealing, and can never write again. */
 function isFinal(fault: WriteFault<JournalFault>): boolean {
   if (fault.type !== 'refused') return false;
   return fault.fault.code === 'not-open' || fault.fault.code === 'unknown-holder';
--- a/packages/router/src/node/money/moneyParts.ts
+++ b/packages/router/src/node/money/moneyParts.ts
@@ -1,4 +1,4 @@
-/** The parts that the budget service of a router is made of. */
+/** Creates and connects the components of a router's budget service. */
 
 import type {
   AccountId,
@@ -13,47 +13,50 @@
 import type { MoneyPeers, ObjectStore } from '../../types/moneyPorts.js';
 import type { RouterContext } from '../../types/routerContext.js';
 import type { JournalWriter } from './lineRoutes.js';
-import type { Written } from './groupWriter.js';
+import type { VersionedState } from './groupWriter.js';
 import { checkInvariant, createJournal, createSlicePolicy, pool } from '@flamingocourse/core';
-import { ClaimKeeper } from './claimKeeper.js';
+import { ClaimStore } from './claimKeeper.js';
 import { GroupWriter } from './groupWriter.js';
-import { LineRoutes } from './lineRoutes.js';
+import { LineTransport } from './lineRoutes.js';
 import { ProvisionalSettler } from './provisionalSettler.js';
 import { Sealer } from './sealer.js';
 import { TicketResolver } from './ticketResolver.js';
-import { Treasurer } from './treasurer.js';
+import { LedgerSync } from './treasurer.js';
 import { WitnessStore } from './witnessStore.js';
 
-/** What the parts are created with. */
+/** Options of {@link createMoneyParts}. */
 export interface MoneyPartsOptions {
   context: RouterContext;
   store: ObjectStore;
   peers: MoneyPeers;
   fleet: Fleet;
   configuration: Configuration;
-  onState: (written: Written<JournalState>) => void;
+  onState: (written: VersionedState<JournalState>) => void;
   onBudget: (account: AccountId, view: BudgetView) => void;
   onFailure: (err: unknown) => void;
 }
 
-/** The parts, wired. */
+/** Components of the budget service. */
 export interface MoneyParts {
   fleet: Fleet;
   configuration: Configuration;
   writer: JournalWriter;
-  routes: LineRoutes;
+  transport: LineTransport;
   witness: WitnessStore;
   sealer: Sealer;
-  treasurer: Treasurer;
-  claims: ClaimKeeper;
+  ledgerSync: LedgerSync;
+  claims: ClaimStore;
   resolver: TicketResolver;
   provisional: ProvisionalSettler;
   onFailure: (err: unknown) => void;
-  /** Looks for tokens that a request lacks, at most once at a time per account. */
-  seek: (account: AccountId, amount: Tokens) => void;
+  /**
+   * Fetches tokens into the pool, first from the ledger and then from peers. Runs once at a time per
+   * account; further calls are ignored meanwhile.
+   */
+  fetchTokens: (account: AccountId, amount: Tokens) => void;
 }
 
-/** Creates and starts the parts. */
+/** Creates the components and starts the journal writer. */
 export function createMoneyParts(options: MoneyPartsOptions): MoneyParts {
   const { context, store, peers, fleet, configuration, onFailure } = options;
   const { budget, mesh } = context.settings;
@@ -61,7 +64,7 @@
   writer.start();
   const witness = new WitnessStore();
   const policy = (): SlicePolicy => createSlicePolicy(configuration.deployment.policy);
-  const treasurer = new Treasurer({
+  const ledgerSync = new LedgerSync({
     ...options,
     journal: writer,
     clock: context.clock,
@@ -69,7 +72,7 @@
     ledgerPages: budget.ledgerPages,
     ledgerSyncMs: budget.ledgerSyncMs,
   });
-  const claims = new ClaimKeeper({
+  const claims = new ClaimStore({
     store,
     clock: context.clock,
     pages: budget.claimPages,
@@ -82,15 +85,15 @@
     fleet,
     configuration,
     writer,
-    routes: new LineRoutes(fleet, peers, writer),
+    transport: new LineTransport(fleet, peers, writer),
     witness,
     sealer: new Sealer({ fleet, peers, writer, witness, log: context.log, goneMs: mesh.goneMs }),
-    treasurer,
+    ledgerSync,
     claims,
     resolver,
     provisional: new ProvisionalSettler({ fleet, writer, claims, resolver, log: context.log }),
     onFailure,
-    seek: createSeeker(options, treasurer, writer),
+    fetchTokens: createTokenFetcher(options, ledgerSync, writer),
   };
 }
 
@@ -103,23 +106,23 @@
     name: dataCentre,
     initial: () => createJournal(dataCentre),
     groupMs: context.settings.budget.groupCommitMs,
-    findFault: (state) => overspent(checkInvariant(state)),
+    findInvariantViolation: (state) => describeOverspend(checkInvariant(state)),
     onState: options.onState,
     onFailure: options.onFailure,
   });
 }
 
-function createSeeker(
+function createTokenFetcher(
   options: MoneyPartsOptions,
-  treasurer: Treasurer,
+  ledgerSync: LedgerSync,
   writer: JournalWriter,
 ): (account: AccountId, amount: Tokens) => void {
   const running = new Set<AccountId>();
-  const seek = async (account: AccountId, amount: Tokens): Promise<void> => {
-    await treasurer.request(account, amount);
-    // what the others did shows in the journal only, which this router may not have written.
+  const fetch = async (account: AccountId, amount: Tokens): Promise<void> => {
+    await ledgerSync.requestTokens(account, amount);
+    // Another router may have moved the tokens, so the journal is read again.
     const read = await writer.refresh();
-    // peers need what they hold themselves, so they are asked only when the pool stayed short.
+    // Peers use the tokens that they hold, so they are asked only when the pool still has too few.
     if (read.isErr || pool(read.value.state, account) >= amount) return;
     await recallFromPeers(options, account, amount);
     await writer.refresh();
@@ -127,13 +130,13 @@
   return (account, amount) => {
     if (running.has(account)) return;
     running.add(account);
-    void seek(account, amount)
+    void fetch(account, amount)
       .catch(options.onFailure)
       .finally(() => running.delete(account));
   };
 }
 
-/** Asks the other routers of this data centre for what lies idle with them. */
+/** Asks the other routers of this data centre to return unused tokens to the pool. */
 async function recallFromPeers(
   { fleet, peers }: MoneyPartsOptions,
   account: AccountId,
@@ -145,6 +148,6 @@
   await Promise.all(asked);
 }
 
-function overspent(account: AccountId | undefined): string | undefined {
+function describeOverspend(account: AccountId | undefined): string | undefined {
   return account === undefined ? undefined : `account "${account}" would be overspent`;
 }
--- a/packages/router/src/node/money/moneyRefusals.ts
+++ b/packages/router/src/node/money/moneyRefusals.ts
@@ -1,14 +1,14 @@
-/** Refusals of the budget services, as sentences for callers. */
+/** Refusals by the budget services, with messages for callers. */
 
 import type { Refusal, Shortage } from '@flamingocourse/core';
 
-/** When tokens may have been handed back or topped up, in milliseconds. */
+/** Retry hint in milliseconds: by then tokens may have been returned or topped up. */
 const RETRY_BUDGET_MS = 5_000;
 
-/** When another router, a new incarnation or the platform may answer, in milliseconds. */
+/** Retry hint in milliseconds: by then another router, a new incarnation or the platform may answer. */
 const RETRY_SOON_MS = 1_000;
 
-/** The router cannot spend yet, or not any more. */
+/** Refusal while this incarnation is not registered yet, or after it was sealed. */
 export function refuseNotReady(): Refusal {
   return {
     reason: 'not-ready',
@@ -18,7 +18,7 @@
   };
 }
 
-/** Nothing that is recorded now would be kept. */
+/** Refusal while neither the journal nor a witness can store lines. */
 export function refuseUnreachable(): Refusal {
   return {
     reason: 'budget-unreachable',
@@ -28,7 +28,7 @@
   };
 }
 
-/** It cannot be known here whether the request is billed. */
+/** Refusal when this router cannot know whether the request was billed. */
 export function refuseUnknownOutcome(): Refusal {
   return {
     reason: 'outcome-unknown',
@@ -38,7 +38,7 @@
   };
 }
 
-/** No tokens could be set aside. */
+/** Refusal when no tokens could be reserved. */
 export function refuseShortage(shortage: Shortage, isPlatformUp: boolean): Refusal {
   if (shortage === 'class-share') {
     return {
--- a/packages/router/src/node/money/moneyService.ts
+++ b/packages/router/src/node/money/moneyService.ts
@@ -1,4 +1,4 @@
-/** Budget, bills, tickets and claims of one router, behind the interface of the request path. */
+/** Implementation of the budget service: budgets, bills, tickets and claims of one router. */
 
 import type {
   AccountId,
@@ -38,7 +38,7 @@
 import { Money } from '../../types/money.js';
 import { billChanges } from './billLines.js';
 import { HolderSession } from './holderSession.js';
-import { OwnEndings } from './ownEndings.js';
+import { SelfSealer } from './ownEndings.js';
 import { createMoneyParts } from './moneyParts.js';
 import {
   refuseNotReady,
@@ -47,25 +47,25 @@
   refuseUnreachable,
 } from './moneyRefusals.js';
 import { rollLargeSegment } from './segmentRoller.js';
-import { delay, within } from './timing.js';
+import { delay, withTimeout } from './timing.js';
 import { WaitingTokens } from './waitingTokens.js';
 
-/** Time between two rounds of background work, in milliseconds. */
+/** Interval between two rounds of background work, in milliseconds. */
 const TICK_MS = 100;
 
-/** Age at which the journal is read again though nothing was written, in milliseconds. */
+/** Interval at which the journal is read again, in milliseconds. */
 const REFRESH_MS = 5_000;
 
-/** The same while the platform does not answer. */
-const REFRESH_OUT_MS = 500;
+/** Interval at which the journal is read again while the platform does not answer, in milliseconds. */
+const REFRESH_OUTAGE_MS = 500;
 
-/** Time between two looks at the tokens while a request waits for some. */
+/** Interval at which a waiting request tries to reserve tokens again, in milliseconds. */
 const RESERVE_POLL_MS = 10;
 
-/** Longest wait at a stop for slices to be given back, in milliseconds. */
+/** Longest wait for the slices to be returned when the service stops, in milliseconds. */
 const STOP_TIMEOUT_MS = 3_000;
 
-/** What the budget services are created with. `fleet` and `configuration` come from the kernel. */
+/** Options of {@link MoneyService}. The services `fleet` and `configuration` come from the kernel. */
 export interface MoneyServiceOptions {
   context: RouterContext;
   store: ObjectStore;
@@ -81,14 +81,14 @@
 export class MoneyService extends Money implements MoneyPeerHandler {
   override readonly dependsOn = ['fleet', 'configuration'];
   readonly #options: MoneyServiceOptions;
-  readonly #endings = new OwnEndings();
+  readonly #selfSealer = new SelfSealer();
   readonly #stopping = new Channel<true>(1);
   #parts: MoneyParts | undefined;
   #session: HolderSession | undefined;
   #done: Promise<void> | undefined;
-  #view: AppendAnswer | undefined;
+  #journal: AppendAnswer | undefined;
   #refreshedAt = -Infinity;
-  readonly #former: IncarnationId[] = [];
+  readonly #formerIncarnations: IncarnationId[] = [];
   readonly #accounts = new Set<AccountId>();
   readonly #waiting = new WaitingTokens();
 
@@ -99,7 +99,7 @@
 
   override get ready(): boolean {
     const session = this.#session;
-    return session !== undefined && session.open && session.canKeep;
+    return session !== undefined && session.open && session.canRecord;
   }
 
   override async start(kernel: Kernel): Promise<void> {
@@ -111,7 +111,7 @@
       fleet: kernel.get('fleet', Fleet),
       configuration: kernel.get('configuration', Configuration),
       onState: (written) => {
-        this.#adopt(written);
+        this.#acceptJournal(written);
       },
       onBudget: (account, view) => this.#session?.spender.setBudget(account, view),
       onFailure,
@@ -121,16 +121,16 @@
     this.#done = startProcess(() => this.#run(), onFailure);
   }
 
-  /** Gives the slices back, ends the holder and writes what is queued. */
+  /** Returns the slices, closes the holder and writes the queued changes. */
   override async stop(): Promise<void> {
     this.#stopping.close();
     await this.#done;
     const session = this.#session;
     const parts = this.#parts;
     if (!session || !parts) return;
-    await within(session.leave(parts.witness), STOP_TIMEOUT_MS, undefined);
+    await withTimeout(session.close(parts.witness), STOP_TIMEOUT_MS, undefined);
     session.log.close();
-    await Promise.all([parts.writer.stop(), parts.claims.stop(), parts.treasurer.stop()]);
+    await Promise.all([parts.writer.stop(), parts.claims.stop(), parts.ledgerSync.stop()]);
   }
 
   override nextTicket(): TicketId {
@@ -138,8 +138,8 @@
     return session ? session.nextTicket() : { issuer: '', number: 0 };
   }
 
-  override async reserve(asked: ReservationRequest): Promise<Result<Reservation, Refusal>> {
-    const request = { ...asked, amount: Math.ceil(asked.amount) };
+  override async reserve(requested: ReservationRequest): Promise<Result<Reservation, Refusal>> {
+    const request = { ...requested, amount: Math.ceil(requested.amount) };
     const { clock, settings } = this.#options.context;
     const start = clock.now();
     const latest = Math.min(start + settings.budget.reserveWaitMs, request.deadline);
@@ -161,12 +161,12 @@
     for (;;) {
       const session = this.#session;
       if (!session?.open) return Result.err(refuseNotReady());
-      if (!session.canKeep) return Result.err(refuseUnreachable());
+      if (!session.canRecord) return Result.err(refuseUnreachable());
       const result = session.spender.reserve(this.#spenderRequest(session, request));
       if (result.isOk) return Result.ok(result.value);
       const isFinal = result.error === 'class-share' || result.error === 'reserved-for-first';
       if (isFinal || clock.now() >= latest) return Result.err(this.#refusal(result.error));
-      this.#seekTokens(session, request.account);
+      this.#fetchTokens(session, request.account);
       await delay(RESERVE_POLL_MS);
     }
   }
@@ -179,7 +179,7 @@
   ): Promise<Result<'kept', Refusal>> {
     const session = this.#session;
     const isOwn = session?.open === true && ticket.issuer === session.spender.holder;
-    // a reservation of an incarnation that was sealed gives no right to spend any more.
+    // A reservation of a sealed incarnation must not be billed.
     if (!isOwn || !session.spender.isReserved(reservation)) {
       return Result.err(refuseUnknownOutcome());
     }
@@ -202,7 +202,7 @@
     }
     const result = await session.record([{ type: 'intent', ticket: ticket.number }]);
     if (result.isOk) return Result.ok('kept');
-    // the intent may be kept yet; it is never dispatched, so the record must say so.
+    // The intent may still get stored, although the request is not sent. The journal must record that.
     this.recordNotRun(ticket);
     return Result.err(refuseUnreachable());
   }
@@ -223,7 +223,7 @@
   }
 
   override giveUpClaim(keyDigest: string, bodyDigest: string, ticket: TicketId): void {
-    this.#parts?.claims.giveUp(keyDigest, bodyDigest, ticket);
+    this.#parts?.claims.release(keyDigest, bodyDigest, ticket);
   }
 
   override async resolveTicket(ticket: TicketId): Promise<TicketResolution> {
@@ -241,7 +241,7 @@
   }
 
   async handleAppendLines(lines: JournalLine[]): Promise<Result<AppendAnswer, PeerFault>> {
-    return this.#parts ? this.#parts.routes.commitFor(lines) : Result.err('refused');
+    return this.#parts ? this.#parts.transport.commitFor(lines) : Result.err('refused');
   }
 
   handleKeepLines(lines: JournalLine[]): Result<'kept', PeerFault> {
@@ -259,13 +259,13 @@
   ): Promise<Result<Tokens, PeerFault>> {
     const parts = this.#parts;
     if (!parts) return Result.err('refused');
-    const given = (await this.#session?.give(account, amount)) ?? 0;
+    const given = (await this.#session?.returnToPool(account, amount)) ?? 0;
     const { dataCentre } = parts.fleet.self;
     if (forDataCentre !== dataCentre) {
-      return Result.ok(await parts.treasurer.returnToLedger(account, amount));
+      return Result.ok(await parts.ledgerSync.returnToLedger(account, amount));
     }
-    if (given < amount && parts.treasurer.owns(account)) {
-      await parts.treasurer.request(account, amount);
+    if (given < amount && parts.ledgerSync.owns(account)) {
+      await parts.ledgerSync.requestTokens(account, amount);
     }
     return Result.ok(given);
   }
@@ -282,37 +282,37 @@
     const { clock, log } = this.#options.context;
     const session = this.#session;
     if (!session) return;
-    await this.#refreshOldJournal(parts);
+    await this.#refreshStaleJournal(parts);
     if (!session.open && !session.log.sealed && (await session.register(clock.now()))) {
       log.write('holder-registered', { holder: session.spender.holder });
     }
-    const state = this.#view?.state;
+    const state = this.#journal?.state;
     if (!state || !parts.writer.reachable) return;
     session.renewWitnesses();
     for (const account of this.#accounts) {
       session.balance(account, state, this.#policy(), clock.now());
     }
     await parts.witness.replay(parts.writer);
-    await this.#endings.tick(parts.writer);
+    await this.#selfSealer.tick(parts.writer);
     await parts.sealer.tick(clock.now());
-    await parts.treasurer.tick(clock.now());
+    await parts.ledgerSync.tick(clock.now());
     await parts.claims.tick();
     await parts.provisional.tick(clock.now());
     await rollLargeSegment(this.#options.store, parts.writer, log);
   }
 
-  async #refreshOldJournal({ writer }: MoneyParts): Promise<void> {
+  async #refreshStaleJournal({ writer }: MoneyParts): Promise<void> {
     const now = this.#options.context.clock.now();
-    const limit = writer.reachable ? REFRESH_MS : REFRESH_OUT_MS;
+    const limit = writer.reachable ? REFRESH_MS : REFRESH_OUTAGE_MS;
     if (now - this.#refreshedAt < limit) return;
     this.#refreshedAt = now;
     await writer.refresh();
   }
 
-  /** Takes in a journal that was read, written, or sent by the committer, unless it is older. */
-  #adopt(written: AppendAnswer): void {
-    if (this.#view && !isNewer(written.version, this.#view.version)) return;
-    this.#view = written;
+  /** Accepts a journal that was read, written or sent by the committer, unless it is older. */
+  #acceptJournal(written: AppendAnswer): void {
+    if (this.#journal && !isNewer(written.version, this.#journal.version)) return;
+    this.#journal = written;
     this.#parts?.witness.sync(written.state);
     this.#session?.sync(written.state);
   }
@@ -321,11 +321,11 @@
     const session: HolderSession = new HolderSession({
       fleet: parts.fleet,
       writer: parts.writer,
-      routes: parts.routes,
-      formerly: [...this.#former],
+      transport: parts.transport,
+      formerIncarnations: [...this.#formerIncarnations],
       witnessAfterMs: this.#options.context.settings.budget.witnessAfterMs,
       onAnswer: (answer) => {
-        this.#adopt(answer);
+        this.#acceptJournal(answer);
       },
       onSealed: () => {
         this.#onSealed(session, parts);
@@ -335,13 +335,13 @@
     this.#session = session;
   }
 
-  /** Starts over: what the old incarnation had is settled by whoever sealed it. */
+  /** Opens a session for a new incarnation. The sealing of the old one returns its tokens to the pool. */
   #onSealed(session: HolderSession, parts: MoneyParts): void {
     if (this.#session !== session || this.#stopping.closed) return;
     const holder = session.spender.holder;
     this.#options.context.log.write('holder-lost', { holder });
-    this.#former.push(holder);
-    this.#endings.add(holder, session.spender.unapplied);
+    this.#formerIncarnations.push(holder);
+    this.#selfSealer.add(holder, session.spender.unapplied);
     parts.fleet.renewIncarnation();
     this.#openSession(parts);
   }
@@ -356,15 +356,15 @@
     return { account, workClass, amount, budgetShare, floor };
   }
 
-  /** Takes from the pool, and where that is short, asks the treasurer and the peers. */
-  #seekTokens(session: HolderSession, account: AccountId): void {
+  /** Takes tokens from the pool. If it has too few, fetches more from the ledger and from peers. */
+  #fetchTokens(session: HolderSession, account: AccountId): void {
     const parts = this.#parts;
-    const state = this.#view?.state;
+    const state = this.#journal?.state;
     if (!parts || !state || !parts.writer.reachable) return;
     const now = this.#options.context.clock.now();
     const amount = this.#waiting.sum(account);
-    const lacking = session.takeFor(account, amount, state, this.#policy(), now);
-    if (lacking > 0) parts.seek(account, lacking);
+    const shortfall = session.takeForWaiting(account, amount, state, this.#policy(), now);
+    if (shortfall > 0) parts.fetchTokens(account, shortfall);
   }
 
   #refusal(shortage: Shortage): Refusal {
--- a/packages/router/src/node/money/ownEndings.ts
+++ b/packages/router/src/node/money/ownEndings.ts
@@ -1,37 +1,36 @@
 /**
- * Ends the former incarnations of this process that peers have begun to seal.
+ * Finishes the sealing of this process's own former incarnations.
  *
- * A router that lives can be taken for dead, and its witness can die before the sealer asks it. The
- * bills that only the two of them have would then stay in doubt for good. The process itself knows
- * all its lines and writes no more of them, which is stronger evidence than all witnesses together.
+ * Peers can take a running router for failed and start to seal it, and a witness of it can fail before
+ * the sealer reaches that witness. The sealing could then never finish, and bills that only the
+ * router and the witness have would stay in doubt forever. The process itself has all lines of the
+ * former incarnation and writes no more of them, so it needs no witness to finish the sealing.
  */
 
 import type { IncarnationId, JournalLine } from '@flamingocourse/core';
 import type { JournalWriter } from './lineRoutes.js';
 import { finishSeal } from '@flamingocourse/core';
 
-interface Ending {
+interface UnfinishedSeal {
   holder: IncarnationId;
   lines: JournalLine[];
 }
 
-/** Former incarnations that the journal still shows as `sealing`. */
-export class OwnEndings {
-  readonly #endings: Ending[] = [];
+/** Former incarnations of this process whose sealing may not be finished. */
+export class SelfSealer {
+  readonly #unfinished: UnfinishedSeal[] = [];
 
-  /** Adds an incarnation whose log has ended, with every line that the journal lacks. */
+  /** Adds an incarnation whose line log is closed, with all its lines that are not in the journal. */
   add(holder: IncarnationId, lines: readonly JournalLine[]): void {
-    this.#endings.push({ holder, lines: [...lines] });
+    this.#unfinished.push({ holder, lines: [...lines] });
   }
 
-  /** Ends what is still being sealed; repeated until the journal shows the end. */
+  /** Tries to finish each sealing. Repeats it at the next tick unless the journal wrote or refused it. */
   async tick(writer: JournalWriter): Promise<void> {
-    for (const ending of [...this.#endings]) {
-      const written = await writer.change((state) =>
-        finishSeal(state, ending.holder, ending.lines),
-      );
+    for (const seal of [...this.#unfinished]) {
+      const written = await writer.change((state) => finishSeal(state, seal.holder, seal.lines));
       if (written.isErr && written.error.type !== 'refused') return;
-      this.#endings.splice(this.#endings.indexOf(ending), 1);
+      this.#unfinished.splice(this.#unfinished.indexOf(seal), 1);
     }
   }
 }
--- a/packages/router/src/node/money/provisionalSettler.ts
+++ b/packages/router/src/node/money/provisionalSettler.ts
@@ -1,86 +1,89 @@
 /**
- * Settles provisional bills: requests that were answered while their key could not be claimed.
+ * Settles provisional bills: bills of requests that were answered while their idempotency key could
+ * not be claimed.
  *
- * The same key may have been answered in two data centres that were cut off from each other and from
- * the platform, or by two routers while the platform was out. Each journal then has a provisional
- * bill for it. Once claims can be read again, the ticket that owns the key is billed and the others
- * are void. The provisional bill stands in the journal, so any router can settle it, also after the
- * one that answered has died.
+ * Two data centres that were partitioned from each other and from the platform may have answered the
+ * same key, or two routers during an outage of the platform. Each of them has then recorded a
+ * provisional bill in its journal. Once claims can be read again, the ticket that owns the key is
+ * billed and the others are void. Provisional bills are in the journal, so any router can settle them,
+ * also after the router that answered has failed.
  */
 
 import type { Bill, EpochMs, ProvisionalVerdict, TicketId } from '@flamingocourse/core';
 import type { EventLog } from '@flamingocourse/kernel';
 import type { Fleet } from '../../types/fleet.js';
-import type { ClaimKeeper } from './claimKeeper.js';
+import type { ClaimStore } from './claimKeeper.js';
 import type { JournalWriter } from './lineRoutes.js';
 import type { TicketProgress, TicketResolver } from './ticketResolver.js';
 import { settleProvisional, ticketName } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 
-/** Key under which the one router is chosen that settles; others may do it without harm. */
+/** Key by which the fleet chooses the router that settles. Settling by several routers is harmless. */
 const SETTLER_KEY = 'provisional';
-const INTERVAL_MS = 500;
-/** Bills settled in one round, so that a long outage's backlog does not hold up other work. */
+/** Interval between two rounds, in milliseconds. */
+const SETTLE_INTERVAL_MS = 500;
+/** Most bills settled in one round, so that the backlog of a long outage does not delay other work. */
 const MAX_PER_ROUND = 64;
 
-/** What a settler is created with. */
+/** Options of {@link ProvisionalSettler}. */
 export interface ProvisionalSettlerOptions {
   fleet: Fleet;
   writer: JournalWriter;
-  claims: ClaimKeeper;
+  claims: ClaimStore;
   resolver: TicketResolver;
   log: EventLog;
 }
 
-/** What a bill waits for. */
-interface Wait {
+/** Why a bill cannot be settled yet. */
+interface UnsettledReason {
   reason: 'claim-unreachable' | 'takeover-failed' | `owner-${TicketProgress}`;
-  /** Ticket that owns the key, where it is known. */
+  /** Ticket that owns the key, if known. */
   owner?: TicketId;
 }
 
-/** Settler of one data centre's journal. */
+/** Settles the provisional bills in the journal of one data centre. */
 export class ProvisionalSettler {
   readonly #options: ProvisionalSettlerOptions;
   #lastAt: EpochMs = -Infinity;
-  /** Why each bill waits, as it was last told. */
-  readonly #told = new Map<string, string>();
+  /** Reason that was last logged for each bill that waits. */
+  readonly #loggedReasons = new Map<string, string>();
 
   constructor(options: ProvisionalSettlerOptions) {
     this.#options = options;
   }
 
-  /** Settles what can be settled now. */
+  /** Settles the bills that can be settled now. */
   async tick(now: EpochMs): Promise<void> {
     const { fleet, writer } = this.#options;
-    if (now - this.#lastAt < INTERVAL_MS) return;
+    if (now - this.#lastAt < SETTLE_INTERVAL_MS) return;
     this.#lastAt = now;
     if (fleet.localOwner(SETTLER_KEY).incarnation !== fleet.self.incarnation) return;
     const waiting = (writer.latest?.state.provisional ?? []).slice(0, MAX_PER_ROUND);
-    const names = new Set(waiting.map(nameOf));
-    for (const name of this.#told.keys()) if (!names.has(name)) this.#told.delete(name);
+    const names = new Set(waiting.map(billName));
+    for (const name of this.#loggedReasons.keys())
+      if (!names.has(name)) this.#loggedReasons.delete(name);
     await Promise.all(waiting.map((bill) => this.#settle(bill)));
   }
 
   async #settle(bill: Bill): Promise<void> {
     const ticket = { issuer: bill.holder, number: bill.ticket };
-    const verdict = await this.#judge(bill, ticket);
+    const verdict = await this.#decideVerdict(bill, ticket);
     if (typeof verdict !== 'string') {
-      this.#tell(bill, verdict);
+      this.#logUnsettled(bill, verdict);
       return;
     }
     const written = await this.#options.writer.change((state) =>
       Result.ok(settleProvisional(state, ticket, verdict)),
     );
     const { log } = this.#options;
-    if (written.isOk) log.write('provisional-settled', { bill: nameOf(bill), verdict });
+    if (written.isOk) log.write('provisional-settled', { bill: billName(bill), verdict });
   }
 
-  /** Says once for each reason why a bill is not settled yet. */
-  #tell(bill: Bill, { reason, owner }: Wait): void {
-    const name = nameOf(bill);
-    if (this.#told.get(name) === reason) return;
-    this.#told.set(name, reason);
+  /** Logs why a bill is not settled yet, once per change of the reason. */
+  #logUnsettled(bill: Bill, { reason, owner }: UnsettledReason): void {
+    const name = billName(bill);
+    if (this.#loggedReasons.get(name) === reason) return;
+    this.#loggedReasons.set(name, reason);
     this.#options.log.write('provisional-waits', {
       bill: name,
       account: bill.account,
@@ -89,13 +92,16 @@
     });
   }
 
-  /** Asks the claim who is billed, or says why that cannot be known yet. */
-  async #judge(bill: Bill, ticket: TicketId): Promise<ProvisionalVerdict | Wait> {
+  /** Decides from the claim whether the bill counts, or returns why that cannot be decided yet. */
+  async #decideVerdict(
+    bill: Bill,
+    ticket: TicketId,
+  ): Promise<ProvisionalVerdict | UnsettledReason> {
     const { claims, resolver } = this.#options;
     const { keyDigest = '', unclaimed = '' } = bill;
     const answer = await claims.claim(keyDigest, unclaimed, ticket);
     switch (answer.type) {
-      // with another body the key names another request; this one was answered for itself.
+      // With another body the key was claimed by a different request, so this one is billed as well.
       case 'own':
       case 'other-body':
         return 'billed';
@@ -113,7 +119,7 @@
   }
 }
 
-/** A bill's ticket as text. */
-function nameOf({ holder, ticket }: Bill): string {
+/** Returns the ticket of a bill as text. */
+function billName({ holder, ticket }: Bill): string {
   return ticketName({ issuer: holder, number: ticket });
 }
--- a/packages/router/src/node/money/sealer.ts
+++ b/packages/router/src/node/money/sealer.ts
@@ -1,4 +1,4 @@
-/** Seals holders of this data centre that are gone, so that their slices become free again. */
+/** Seals failed holders of this data centre, so that their slices return to the pool. */
 
 import type {
   EpochMs,
@@ -14,31 +14,36 @@
 import type { WitnessStore } from './witnessStore.js';
 import { answeringIncarnation, finishSeal, startSeal } from '@flamingocourse/core';
 
-/** What a sealer is created with. */
+/** Options of {@link Sealer}. */
 export interface SealerOptions {
   fleet: Fleet;
   peers: MoneyPeers;
   writer: JournalWriter;
   witness: WitnessStore;
   log: EventLog;
-  /** Time for which a holder must be missing, in milliseconds. */
+  /** Time for which a holder must be unknown to the fleet before it is sealed, in milliseconds. */
   goneMs: number;
 }
 
-/** Key under which the one router is chosen that seals; others may do it without harm. */
+/** Key by which the fleet chooses the router that seals. Sealing by several routers is harmless. */
 const SEALER_KEY = 'sealer';
 
-/** Sealing of other holders. Each step can be repeated by any router at any time. */
+/**
+ * Seals other holders. The journal first marks the holder as `sealing` and refuses its lines. Then
+ * each witness is fenced: it refuses further lines of the holder and returns those that it stores.
+ * The last write appends these lines and marks the holder as `sealed`. Any router can repeat each
+ * step at any time.
+ */
 export class Sealer {
   readonly #options: SealerOptions;
   readonly #missingSince = new Map<IncarnationId, EpochMs>();
-  readonly #reported = new Set<IncarnationId>();
+  readonly #reportedInDoubt = new Set<IncarnationId>();
 
   constructor(options: SealerOptions) {
     this.#options = options;
   }
 
-  /** Seals every holder that has been missing for long enough, as far as witnesses answer. */
+  /** Seals every failed holder whose witnesses all answer. */
   async tick(now: EpochMs): Promise<void> {
     const { fleet, writer } = this.#options;
     if (fleet.localOwner(SEALER_KEY).incarnation !== fleet.self.incarnation) return;
@@ -48,15 +53,15 @@
         await this.seal(id);
       }
     }
-    this.#forgetEnded(new Set(holders.filter(([, one]) => isLive(one)).map(([id]) => id)));
+    this.#forgetSealed(new Set(holders.filter(([, one]) => isUnsealed(one)).map(([id]) => id)));
   }
 
-  /** Seals one holder; gives whether it is sealed now. */
+  /** Seals one holder. Returns whether it is sealed now. */
   async seal(holder: IncarnationId): Promise<boolean> {
     const { writer } = this.#options;
     const started = await writer.change((state) => startSeal(state, holder));
     if (started.isErr) return false;
-    // the answers count only because they are taken after `sealing` was stored.
+    // Witnesses are fenced only after `sealing` is stored; earlier answers could miss later lines.
     const lines = await this.#fenceAll(holder, started.value.state);
     if (!lines) return false;
     const finished = await writer.change((state) => finishSeal(state, holder, lines));
@@ -65,12 +70,12 @@
     return true;
   }
 
-  /** Lines of all witnesses; `undefined` while one of them does not answer. */
+  /** Fences all witnesses and returns their lines, or `undefined` when one does not answer. */
   async #fenceAll(holder: IncarnationId, state: JournalState): Promise<JournalLine[] | undefined> {
     const lines: JournalLine[] = [];
     for (const named of state.holders[holder]?.witnesses ?? []) {
       const witness = answeringIncarnation(state, named);
-      // a router closes only after its kept lines are in the journal, and keeps none afterwards.
+      // A router closes only after the lines that it stores are in the journal, and then accepts none.
       if (state.holders[witness]?.state === 'closed') continue;
       const answer = await this.#fence(witness, holder);
       if (!answer) {
@@ -96,24 +101,24 @@
       this.#missingSince.delete(id);
       return false;
     }
-    // also a peer that was never heard of gets time: this router may have started just now.
+    // A peer that the fleet does not know gets time as well: this router may have just started.
     const since = this.#missingSince.get(id) ?? now;
     this.#missingSince.set(id, since);
     return health === 'gone' || now - since >= goneMs;
   }
 
   #reportInDoubt(holder: IncarnationId, witness: IncarnationId): void {
-    if (this.#reported.has(holder)) return;
-    this.#reported.add(holder);
+    if (this.#reportedInDoubt.has(holder)) return;
+    this.#reportedInDoubt.add(holder);
     this.#options.log.write('holder-in-doubt', { holder, witness });
   }
 
-  #forgetEnded(live: Set<IncarnationId>): void {
+  #forgetSealed(live: Set<IncarnationId>): void {
     for (const id of this.#missingSince.keys()) if (!live.has(id)) this.#missingSince.delete(id);
-    for (const id of this.#reported) if (!live.has(id)) this.#reported.delete(id);
+    for (const id of this.#reportedInDoubt) if (!live.has(id)) this.#reportedInDoubt.delete(id);
   }
 }
 
-function isLive(holder: JournalHolder): boolean {
+function isUnsealed(holder: JournalHolder): boolean {
   return holder.state === 'open' || holder.state === 'sealing';
 }
--- a/packages/router/src/node/money/segmentRoller.ts
+++ b/packages/router/src/node/money/segmentRoller.ts
@@ -1,4 +1,4 @@
-/** Moves bills and answers out of the journal into closed segments, so that it stays small. */
+/** Moves bills and answers from the journal into closed segments, so that the journal stays small. */
 
 import type { EventLog } from '@flamingocourse/kernel';
 import type { BillSegment } from '@flamingocourse/core';
@@ -8,20 +8,20 @@
 import { Result } from 'true-myth';
 import { segmentName } from './ticketResolver.js';
 
-/** Size of bills and answers at which a segment is closed, in characters. */
+/** Estimated size at which a segment is closed, in characters. */
 const SEGMENT_SIZE = 200_000;
 
-/** Usual size of a bill, in characters. */
+/** Estimated size of a bill or of an outcome without its body, in characters. */
 const BILL_SIZE = 300;
 
-/** Closes the open segment once it is large; each step can be repeated by any router. */
+/** Closes the open segment once it is large. Any router can repeat each step. */
 export async function rollLargeSegment(
   store: ObjectStore,
   writer: JournalWriter,
   log: EventLog,
   size = SEGMENT_SIZE,
 ): Promise<void> {
-  // only what is stored may go into a segment, which is never changed: `latest` is stored.
+  // A segment never changes once written, so it may contain stored bills only. `latest` is stored.
   const state = writer.latest?.state;
   if (!state || sizeOf(openSegment(state)) < size) return;
   const segment = openSegment(state);
--- a/packages/router/src/node/money/ticketResolver.ts
+++ b/packages/router/src/node/money/ticketResolver.ts
@@ -1,4 +1,4 @@
-/** Finds out what became of a ticket that another incarnation issued. */
+/** Looks up the outcome of a ticket that another incarnation issued. */
 
 import type {
   BillSegment,
@@ -13,21 +13,21 @@
 import type { TicketResolution } from '../../types/money.js';
 import { hasInterval } from '@flamingocourse/core';
 
-/** Segments read for one ticket, newest first; an older answer is told as `billed`. */
+/** Segments read for one ticket, newest first. An older answer is reported as `billed`. */
 const MAX_SEGMENTS_READ = 20;
 
-/** How far a ticket has come, by its issuer's journal. */
+/** State of a ticket according to the journal of its issuer. */
 export type TicketProgress =
-  /** Billed or answered for. */
+  /** It was billed, or its answer was recorded. */
   | 'done'
-  /** It provably never will be. */
+  /** It can never be billed. */
   | 'never'
-  /** It may yet be. */
+  /** It may still be billed. */
   | 'open'
-  /** The journal can't be read now. */
+  /** The journal cannot be read now. */
   | 'unread';
 
-/** Resolver of foreign tickets. */
+/** Resolves tickets of other incarnations. */
 export class TicketResolver {
   readonly #fleet: Fleet;
   readonly #store: ObjectStore;
@@ -37,7 +37,7 @@
     this.#store = store;
   }
 
-  /** Asks for the issuer while it lives, and else reads its data centre's journal. */
+  /** Refers to the issuer while it is alive; otherwise reads the journal of its data centre. */
   async resolve(ticket: TicketId): Promise<TicketResolution> {
     const issuer = this.#fleet.find(ticket.issuer);
     if (issuer?.health === 'alive') return { type: 'elsewhere', entryUrl: issuer.info.entryUrl };
@@ -51,7 +51,7 @@
     return { type: isProvablyOver(holder) ? 'not-run' : 'unknown' };
   }
 
-  /** Says how far a ticket has come. */
+  /** Returns the state of a ticket according to the journal. */
   async progress(ticket: TicketId): Promise<TicketProgress> {
     const read = await this.#store.get('journals', dataCentreOf(ticket.issuer));
     if (read.isErr) return 'unread';
@@ -79,12 +79,15 @@
   }
 }
 
-/** Name of a segment's platform object. */
+/** Returns the name of the platform object that contains a segment. */
 export function segmentName(dataCentre: string, number: number): string {
   return `${dataCentre}-${number}`;
 }
 
-/** A holder that an operator wrote off may have run what its lost lines would have told. */
+/**
+ * Whether a ticket that is not in the journal was certainly not billed. This is unknown for a holder
+ * that an operator wrote off: its lost lines may have contained the ticket.
+ */
 function isProvablyOver(holder: JournalHolder): boolean {
   return (holder.state === 'sealed' || holder.state === 'closed') && !holder.writtenOff;
 }
--- a/packages/router/src/node/money/treasurer.ts
+++ b/packages/router/src/node/money/treasurer.ts
@@ -1,7 +1,7 @@
 /**
- * Moves tokens between the ledger and the journal of this data centre. One router per ledger page
- * does it, chosen among live peers; two that both believe to be chosen do no harm, because each
- * update is conditional and made from levels, not from steps.
+ * Moves tokens between the ledger and the journal of this data centre. One router per ledger page,
+ * chosen among the live ones, does this. Two routers that both consider themselves chosen are
+ * harmless: each update is conditional and sets totals instead of adding differences.
  */
 
 import type {
@@ -31,36 +31,37 @@
 } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 import { GroupWriter } from './groupWriter.js';
-import { DemandBook } from './demandBook.js';
-import type { LedgerSituation } from './ledgerPlan.js';
+import { DemandTracker } from './demandBook.js';
+import type { LedgerPlanInput } from './ledgerPlan.js';
 import { planPage } from './ledgerPlan.js';
 
-/** Gathering of changes of one ledger page, in milliseconds. */
+/** Time for which changes of one ledger page are collected before a write, in milliseconds. */
 const LEDGER_GROUP_MS = 5;
 
 /**
- * Least time between two questions to other data centres about one account, in milliseconds. Several
- * fit into the time that a request waits, because one question may come too early to find anything.
+ * Minimum interval between two recalls of tokens of one account from other data centres, in
+ * milliseconds. Several fit into the time that a request waits, because a recall may come before the
+ * other data centre has tokens to return.
  */
 const RECALL_INTERVAL_MS = 100;
 
-/** Time for which tokens that were handed back for another data centre are left to it. */
-const YIELD_MS = 1_000;
+/** Pause of own refills, in milliseconds, after tokens were returned for another data centre. */
+const REFILL_PAUSE_MS = 1_000;
 
-/** Time for which a pool must stand above its level before it is handed back. */
+/** Time for which a pool must exceed its target before its surplus is returned, in milliseconds. */
 const SURPLUS_MS = 2_000;
 
-/** Times the sync interval at which other routers read a page for their view of the budgets. */
-const READER_FACTOR = 5;
+/** Multiple of the sync interval at which routers read the pages that they do not sync. */
+const READ_INTERVAL_FACTOR = 5;
 
-/** Peers asked for tokens in each other data centre. */
-const RECALLED_PEERS = 4;
+/** Most peers asked for tokens in each other data centre. */
+const MAX_RECALLS_PER_DATA_CENTRE = 4;
 
-/** A pool this many times its level hands the rest back to the ledger. */
+/** Multiple of the target above which a pool returns its surplus to the ledger. */
 const RETURN_FACTOR = 2;
 
-/** What a treasurer is created with. */
-export interface TreasurerOptions {
+/** Options of {@link LedgerSync}. */
+export interface LedgerSyncOptions {
   fleet: Fleet;
   configuration: Configuration;
   store: ObjectStore;
@@ -76,28 +77,28 @@
 
 type PageWriter = GroupWriter<LedgerPage, LedgerFault>;
 
-/** Ledger side of this router. */
-export class Treasurer {
-  readonly #options: TreasurerOptions;
+/** Syncs ledger pages with the journal of this data centre. */
+export class LedgerSync {
+  readonly #options: LedgerSyncOptions;
   readonly #pages = new Map<number, PageWriter>();
   readonly #syncedAt = new Map<number, EpochMs>();
   readonly #running = new Map<number, Promise<void>>();
   readonly #recalledAt = new Map<AccountId, EpochMs>();
-  readonly #yieldedAt = new Map<AccountId, EpochMs>();
+  readonly #refillPausedAt = new Map<AccountId, EpochMs>();
   readonly #surplusSince = new Map<AccountId, EpochMs>();
-  readonly #demand = new DemandBook();
+  readonly #demand = new DemandTracker();
   readonly #shortfalls = new Map<AccountId, Tokens>();
 
-  constructor(options: TreasurerOptions) {
+  constructor(options: LedgerSyncOptions) {
     this.#options = options;
   }
 
-  /** Whether this router moves the tokens of an account. */
+  /** Whether this router syncs the ledger page of an account. */
   owns(account: AccountId): boolean {
     return this.#ownsPage(pageOf(account, this.#options.ledgerPages));
   }
 
-  /** Syncs the pages that are due; others are only read, for the view of the budgets. */
+  /** Syncs the pages of this router that are due. Only reads the others, to update the budgets. */
   async tick(now: EpochMs): Promise<void> {
     for (let page = 0; page < this.#options.ledgerPages; page += 1) {
       if (this.#accountsOf(page).length === 0 || !this.#isDue(page, now)) continue;
@@ -107,8 +108,8 @@
     }
   }
 
-  /** Asks for a pool of `amount` tokens; resolves when it may have grown. */
-  async request(account: AccountId, amount: Tokens): Promise<void> {
+  /** Requests a pool of at least `amount` tokens. Resolves once the attempt is finished. */
+  async requestTokens(account: AccountId, amount: Tokens): Promise<void> {
     const { fleet, peers, ledgerPages } = this.#options;
     const page = pageOf(account, ledgerPages);
     const owner = fleet.localOwner(ledgerKey(page));
@@ -120,19 +121,19 @@
     await peers.recall(owner.incarnation, account, amount, fleet.self.dataCentre);
   }
 
-  /** Hands idle tokens of the pool back to the ledger, for another data centre. */
+  /** Returns tokens of the pool to the ledger for another data centre. Resolves with the amount. */
   async returnToLedger(account: AccountId, amount: Tokens): Promise<Tokens> {
     const { journal, ledgerPages, clock } = this.#options;
-    this.#yieldedAt.set(account, clock.now());
+    this.#refillPausedAt.set(account, clock.now());
     const before = journal.latest?.state.accounts[account]?.returnedOut ?? 0;
-    const level = before + amount;
-    const written = await journal.change((state) => Result.ok(returnUpTo(state, account, level)));
+    const total = before + amount;
+    const written = await journal.change((state) => Result.ok(returnUpTo(state, account, total)));
     if (written.isErr) return 0;
-    await this.#settlePage(pageOf(account, ledgerPages), new Map(), false);
+    await this.#syncPage(pageOf(account, ledgerPages), new Map(), false);
     return Math.max(0, (written.value.state.accounts[account]?.returnedOut ?? 0) - before);
   }
 
-  /** Brings one ledger page and the journal together; a second call joins the one that runs. */
+  /** Syncs one ledger page with the journal. A call during a running sync waits for that sync. */
   sync(page: number): Promise<void> {
     const running = this.#running.get(page);
     if (running) return running;
@@ -141,7 +142,7 @@
     return sync;
   }
 
-  /** Ends all writers. */
+  /** Writes the queued changes and stops all writers. */
   async stop(): Promise<void> {
     await Promise.all([...this.#pages.values()].map((writer) => writer.stop()));
   }
@@ -149,43 +150,43 @@
   async #sync(page: number): Promise<void> {
     const shortfalls = new Map(this.#shortfalls);
     this.#shortfalls.clear();
-    const ledger = await this.#settlePage(page, shortfalls, true);
+    const ledger = await this.#syncPage(page, shortfalls, true);
     if (!ledger || shortfalls.size === 0) return;
-    const recalled = await this.#recallRest(ledger, shortfalls);
-    // what others handed back is fetched at once, before their own refill takes it again.
-    if (recalled > 0) await this.#settlePage(page, shortfalls, true);
+    const recalled = await this.#recallShortfalls(ledger, shortfalls);
+    // Syncs again at once, before the other data centres refill from the tokens that they returned.
+    if (recalled > 0) await this.#syncPage(page, shortfalls, true);
   }
 
-  /** One pass over a page: counters up, grants down, surplus back. */
-  async #settlePage(
+  /** Copies counters to the ledger page, grants to the journal, and returns surplus to the ledger. */
+  async #syncPage(
     page: number,
     shortfalls: Map<AccountId, Tokens>,
     refills: boolean,
   ): Promise<LedgerPage | undefined> {
     const { journal, clock } = this.#options;
     const read = await journal.refresh();
-    // an old copy of the page would hide what another data centre has just handed back.
+    // A stale copy of the page would not show tokens that another data centre has just returned.
     const opened = await this.#writer(page).refresh();
     if (read.isErr || opened.isErr) return undefined;
     const { state } = read.value;
     this.#demand.observe(state, clock.now());
-    const situation = { ...this.#situation(state, shortfalls), refills };
+    const input = { ...this.#planInput(state, shortfalls), refills };
     const accounts = this.#accountsOf(page);
     const written = await this.#writer(page).change((ledger) =>
-      Result.ok(planPage(ledger, accounts, situation)),
+      Result.ok(planPage(ledger, accounts, input)),
     );
     if (written.isErr) return undefined;
     const ledger = written.value.state;
-    this.#publish(ledger);
+    this.#publishBudgets(ledger);
     await this.#copyGrants(ledger);
-    if (refills) await this.#returnSurplus(ledger, situation.levels);
+    if (refills) await this.#returnSurplus(ledger, input.levels);
     return ledger;
   }
 
-  #situation(
+  #planInput(
     state: JournalState,
     shortfalls: Map<AccountId, Tokens>,
-  ): Omit<LedgerSituation, 'refills'> {
+  ): Omit<LedgerPlanInput, 'refills'> {
     const { configuration, fleet, policy, clock } = this.#options;
     const members = [fleet.self, ...fleet.peers().map((peer) => peer.info)];
     return {
@@ -196,13 +197,14 @@
       rideThroughSeconds: configuration.deployment.rideThroughSeconds,
       dataCentres: new Set(members.map((member) => member.dataCentre)).size,
       now: clock.now(),
-      // the own refill would else win the race against the data centre that asked.
-      yields: (account) => clock.now() - (this.#yieldedAt.get(account) ?? -Infinity) < YIELD_MS,
+      // Without the pause, this data centre would refill before the one that asked gets the tokens.
+      yields: (account) =>
+        clock.now() - (this.#refillPausedAt.get(account) ?? -Infinity) < REFILL_PAUSE_MS,
       levels: new Map<AccountId, Tokens>(),
     };
   }
 
-  /** Also mends a copy that an earlier owner did not live to make. */
+  /** Copies all grants of the page to the journal, also those that a failed owner had not copied. */
   async #copyGrants(ledger: LedgerPage): Promise<void> {
     const { journal, fleet } = this.#options;
     await journal.change((state) => {
@@ -218,17 +220,20 @@
   async #returnSurplus(ledger: LedgerPage, levels: Map<AccountId, Tokens>): Promise<void> {
     const state = this.#options.journal.latest?.state;
     for (const [account, entry] of Object.entries(ledger.accounts)) {
-      const level = levels.get(account) ?? 0;
-      const surplus = state ? pool(state, account) - level : 0;
-      const isLasting = this.#isLastingSurplus(account, surplus > level * (RETURN_FACTOR - 1));
+      const target = levels.get(account) ?? 0;
+      const surplus = state ? pool(state, account) - target : 0;
+      const isLasting = this.#isLastingSurplus(account, surplus > target * (RETURN_FACTOR - 1));
       if (surplus <= 0 || (entry.pendingReduction === 0 && !isLasting)) continue;
       await this.#options.journal.change((now) =>
-        Result.ok(startReturn(now, account, Math.max(0, pool(now, account) - level))),
+        Result.ok(startReturn(now, account, Math.max(0, pool(now, account) - target))),
       );
     }
   }
 
-  /** Tokens just fetched for a waiting request look like a surplus until it takes them. */
+  /**
+   * Whether a surplus has lasted for `SURPLUS_MS`. Tokens fetched for a waiting request look like a
+   * surplus until the request takes them.
+   */
   #isLastingSurplus(account: AccountId, isAbove: boolean): boolean {
     const now = this.#options.clock.now();
     const since = isAbove ? (this.#surplusSince.get(account) ?? now) : undefined;
@@ -237,29 +242,30 @@
     return since !== undefined && now - since >= SURPLUS_MS;
   }
 
-  /** Asks the other data centres for tokens that the ledger no longer has. */
-  async #recallRest(ledger: LedgerPage, shortfalls: Map<AccountId, Tokens>): Promise<Tokens> {
+  /** Recalls tokens that the ledger does not have from the other data centres. */
+  async #recallShortfalls(ledger: LedgerPage, shortfalls: Map<AccountId, Tokens>): Promise<Tokens> {
     let recalled = 0;
     const { journal, clock, fleet, peers } = this.#options;
     for (const [account, amount] of shortfalls) {
       const state = journal.latest?.state;
-      const lacking = amount - (state ? pool(state, account) : 0);
-      const lately = clock.now() - (this.#recalledAt.get(account) ?? 0) < RECALL_INTERVAL_MS;
+      const shortfall = amount - (state ? pool(state, account) : 0);
+      const isRecent = clock.now() - (this.#recalledAt.get(account) ?? 0) < RECALL_INTERVAL_MS;
       const entry = ledger.accounts[account];
-      if (lacking <= 0 || lately || !entry) continue;
-      // the pool may lack only what was taken from it since the grant. Data centres that ask each
-      // other while the ledger has plenty hand tokens round, and refuse requests meanwhile.
-      if (ungranted(entry) >= lacking) continue;
+      if (shortfall <= 0 || isRecent || !entry) continue;
+      // The pool may be short only because tokens were taken since the grant, while the ledger still
+      // has enough. Data centres that recall from each other in that case pass tokens back and forth
+      // and refuse requests in the meantime.
+      if (ungranted(entry) >= shortfall) continue;
       this.#recalledAt.set(account, clock.now());
       const asked = this.#peersHolding(entry).map((peer) =>
-        peers.recall(peer, account, lacking, fleet.self.dataCentre),
+        peers.recall(peer, account, shortfall, fleet.self.dataCentre),
       );
       for (const answer of await Promise.all(asked)) recalled += answer.unwrapOr(0);
     }
     return recalled;
   }
 
-  /** Some live peers in each other data centre that holds unspent tokens. */
+  /** Returns some live peers of each other data centre that holds unspent tokens. */
   #peersHolding(entry: LedgerAccount): string[] {
     const { fleet } = this.#options;
     const chosen: string[] = [];
@@ -269,7 +275,8 @@
       const held = share ? share.grantedIn - share.returnedOut - share.spent : 0;
       const isOther = info.dataCentre !== fleet.self.dataCentre;
       const count = asked.get(info.dataCentre) ?? 0;
-      if (!isOther || held <= 0 || health !== 'alive' || count >= RECALLED_PEERS) continue;
+      if (!isOther || held <= 0 || health !== 'alive' || count >= MAX_RECALLS_PER_DATA_CENTRE)
+        continue;
       asked.set(info.dataCentre, count + 1);
       chosen.push(info.incarnation);
     }
@@ -278,18 +285,18 @@
 
   async #readBudgets(page: number): Promise<void> {
     const read = await this.#writer(page).refresh();
-    if (read.isOk) this.#publish(read.value.state);
+    if (read.isOk) this.#publishBudgets(read.value.state);
   }
 
-  #publish(ledger: LedgerPage): void {
+  #publishBudgets(ledger: LedgerPage): void {
     for (const [account, entry] of Object.entries(ledger.accounts)) {
-      this.#options.onBudget(account, viewOf(entry, this.#options.fleet.self.dataCentre));
+      this.#options.onBudget(account, budgetViewOf(entry, this.#options.fleet.self.dataCentre));
     }
   }
 
   #isDue(page: number, now: EpochMs): boolean {
-    // whoever only reads does it more seldom: the platform counts the reads of the whole fleet.
-    const factor = this.#ownsPage(page) ? 1 : READER_FACTOR;
+    // Pages that are only read are read less often, because all routers read them and load the platform.
+    const factor = this.#ownsPage(page) ? 1 : READ_INTERVAL_FACTOR;
     const age = now - (this.#syncedAt.get(page) ?? -Infinity);
     return age >= this.#options.ledgerSyncMs * factor;
   }
@@ -313,7 +320,7 @@
       name: String(page),
       initial: () => createLedgerPage(page),
       groupMs: LEDGER_GROUP_MS,
-      findFault: (state: LedgerPage) => overGranted(checkLedgerInvariant(state)),
+      findInvariantViolation: (state: LedgerPage) => describeOverGrant(checkLedgerInvariant(state)),
       onFailure: this.#options.onFailure,
     });
     writer.start();
@@ -322,13 +329,13 @@
   }
 }
 
-/** Raises `returnedOut` to a level, so that a repeated write returns nothing more. */
-function returnUpTo(state: JournalState, account: AccountId, level: Tokens): JournalState {
+/** Raises `returnedOut` up to a total, so that a repeated write returns nothing more. */
+function returnUpTo(state: JournalState, account: AccountId, total: Tokens): JournalState {
   const returned = state.accounts[account]?.returnedOut ?? 0;
-  return startReturn(state, account, Math.max(0, level - returned));
+  return startReturn(state, account, Math.max(0, total - returned));
 }
 
-function viewOf(entry: LedgerAccount, dataCentre: string): BudgetView {
+function budgetViewOf(entry: LedgerAccount, dataCentre: string): BudgetView {
   const view: BudgetView = { limit: entry.limit, spentElsewhere: 0, spentElsewhereByClass: {} };
   for (const [id, share] of Object.entries(entry.shares)) {
     if (id === dataCentre) continue;
@@ -345,6 +352,6 @@
   return `ledger/${page}`;
 }
 
-function overGranted(account: AccountId | undefined): string | undefined {
+function describeOverGrant(account: AccountId | undefined): string | undefined {
   return account === undefined ? undefined : `account "${account}" is granted beyond its limit`;
 }
--- a/packages/router/src/node/money/waitingTokens.ts
+++ b/packages/router/src/node/money/waitingTokens.ts
@@ -1,20 +1,20 @@
-/** Tokens that the requests waiting in this router lack together, per account. */
+/** Tokens that requests of this router wait for, per account. */
 
 import type { AccountId, Tokens } from '@flamingocourse/core';
 
 /**
- * Sum of the waiting requests' amounts. Fetching for one request at a time would leave the others
- * waiting for as many round trips to the ledger.
+ * Sums the amounts of the waiting requests, so that the tokens for all of them are fetched together.
+ * Fetching for one request at a time would cost one round trip to the ledger per request.
  */
 export class WaitingTokens {
   readonly #sums = new Map<AccountId, Tokens>();
 
-  /** Tokens of all requests that wait. */
+  /** Returns the total amount of the waiting requests. */
   sum(account: AccountId): Tokens {
     return this.#sums.get(account) ?? 0;
   }
 
-  /** Counts a request until the returned function is called; a second call changes nothing. */
+  /** Adds a request and returns a function that removes it. Removing it twice has no effect. */
   add(account: AccountId, amount: Tokens): () => void {
     this.#sums.set(account, this.sum(account) + amount);
     let isCounted = true;
--- a/packages/router/src/node/money/witnessStore.ts
+++ b/packages/router/src/node/money/witnessStore.ts
@@ -1,4 +1,4 @@
-/** Lines of other holders that this router keeps while the journal does not have them. */
+/** Journal lines of other holders that this router stores until they are in the journal. */
 
 import type { IncarnationId, JournalLine, JournalState } from '@flamingocourse/core';
 import type { JournalWriter } from './lineRoutes.js';
@@ -13,24 +13,24 @@
 } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 
-/** Witness of this process; outlives a change of the own incarnation. */
+/** Witness state of this process. It is retained when the incarnation of the router changes. */
 export class WitnessStore {
   #state = createWitness();
   #journal: JournalState | undefined;
   #closed = false;
 
-  /** Whether nothing is kept that the journal lacks. */
-  get empty(): boolean {
+  /** Whether no lines are stored. Lines are dropped once a newer journal contains them. */
+  get isEmpty(): boolean {
     return keptLines(this.#state).length === 0;
   }
 
-  /** Takes in a newer journal and forgets what it has. */
+  /** Accepts a newer journal and drops the lines that it contains. */
   sync(journal: JournalState): void {
     this.#journal = journal;
     this.#state = dropApplied(this.#state, journal);
   }
 
-  /** Keeps lines for a peer. */
+  /** Stores lines for a peer. Refuses before the first journal was read and after `close`. */
   keep(lines: JournalLine[]): Result<'kept', PeerFault> {
     if (!this.#journal || this.#closed) return Result.err('refused');
     const kept = keepLines(this.#state, lines, this.#journal);
@@ -39,12 +39,12 @@
     return Result.ok('kept');
   }
 
-  /** Keeps nothing more for anyone; comes before the `close` line of this router. */
+  /** Stops accepting lines of any holder. Called before this router writes its `close` line. */
   close(): void {
     this.#closed = true;
   }
 
-  /** Keeps nothing more for a holder and gives what was kept. */
+  /** Stops accepting lines of a holder and returns the lines stored for it. */
   fence(holder: IncarnationId): JournalLine[] {
     const fenced = fence(this.#state, holder);
     this.#state = fenced.state;
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Puts what is kept into the journal, for holders that did not live to do it themselves. Lines
-   * of a holder that is being sealed are refused there; its sealer asks for them.
+   * Appends the stored lines to the journal, in case their holders crashed before they could do so.
+   * The journal refuses lines of a holder that is being sealed; the sealer fetches those instead.
    */
   async replay(writer: JournalWriter): Promise<void> {
     const holders = new Map<IncarnationId, JournalLine[]>();
--- a/packages/router/src/types/money.ts
+++ b/packages/router/src/types/money.ts
@@ -1,4 +1,4 @@
-/** What the request path asks of the budget services. */
+/** The budget service as the request path uses it: reservations, bills, tickets and claims. */
 
 import type {
   AccountId,
@@ -14,20 +14,20 @@
 import type { Result } from 'true-myth';
 import { Service } from '@flamingocourse/kernel';
 
-/** A request's wish to set tokens aside. */
+/** Arguments of {@link Money.reserve}. */
 export interface ReservationRequest {
   account: AccountId;
   workClass: WorkClassName;
   importance: Importance;
-  /** Part of the account's budget that the class may draw, from 0 to 1. */
+  /** Fraction of the account's budget that the work class may spend, from 0 to 1. */
   budgetShare: number;
-  /** Worst case of the whole request, further attempts included. */
+  /** Most tokens that the request can cost, retries included. */
   amount: Tokens;
-  /** Latest time at which an answer is still of use. */
+  /** Time after which the caller no longer needs the answer. */
   deadline: EpochMs;
 }
 
-/** Tokens set aside for one request; spent or released exactly once. */
+/** Tokens reserved for one request. A reservation is billed or released exactly once. */
 export interface Reservation {
   readonly id: number;
   readonly account: AccountId;
@@ -35,10 +35,10 @@
   readonly amount: Tokens;
 }
 
-/** What a bill says beyond what the reservation already knows. */
+/** Fields of a bill that the reservation does not already contain. */
 export type BillDetails = Omit<Bill, 'holder' | 'ticket' | 'account' | 'workClass' | 'at'>;
 
-/** How the journal and the issuer answer for a ticket of another incarnation. */
+/** Result of looking up a ticket that another incarnation issued. */
 export type TicketResolution =
   | { type: 'elsewhere'; entryUrl: string }
   | { type: 'answered'; outcome: Outcome }
@@ -47,29 +47,45 @@
   | { type: 'not-run' }
   | { type: 'unknown' };
 
-/** Answer to a claim on an idempotency key. */
+/**
+ * Result of a claim on an idempotency key: the key belongs to the claiming ticket (`own`), to
+ * another ticket (`other`), or to a request with another body (`other-body`). With `unreachable` the
+ * owner is not known.
+ */
 export type ClaimAnswer =
   | { type: 'own' }
   | { type: 'other'; ticket: TicketId }
   | { type: 'other-body' }
   | { type: 'unreachable' };
 
-/** Budget, bills, tickets and claims of this router. Registered as `money`. */
+/**
+ * Budget, bills, tickets and claims of this router. Registered with the kernel as `money`.
+ *
+ * A bill, an intent or another journal line is `kept` once it is in the journal of the data centre
+ * or in the memory of a witness, which is a peer that stores the lines during an outage.
+ */
 export abstract class Money extends Service {
   override readonly name = 'money';
 
-  /** Whether the router holds rights and can keep lines; false before registration and when sealed. */
+  /**
+   * Whether the router may spend tokens and can store journal lines. False before this incarnation
+   * is registered in the journal and after it is sealed.
+   */
   abstract get ready(): boolean;
 
   /** Issues the next ticket of this incarnation. */
   abstract nextTicket(): TicketId;
 
-  /** Sets the worst case aside before anything is sent; may wait briefly for tokens to arrive. */
+  /**
+   * Reserves the most that a request can cost, before anything is sent to a backend server. Waits
+   * for tokens when too few are free, at most for the setting `reserveWaitMs`.
+   */
   abstract reserve(request: ReservationRequest): Promise<Result<Reservation, Refusal>>;
 
   /**
-   * Bills the actual use (at most the reserved amount) under a ticket and resolves once the line is
-   * kept; only then may the caller see the final event. Frees the rest of the reservation.
+   * Bills the actual use, at most the reserved amount, under a ticket and releases the rest of the
+   * reservation. Resolves once the bill is kept. The final event may be sent to the caller only
+   * after that.
    */
   abstract bill(
     reservation: Reservation,
@@ -78,27 +94,34 @@
     outcome?: Outcome,
   ): Promise<Result<'kept', Refusal>>;
 
-  /** Frees a reservation under which nothing is to be billed. */
+  /** Releases a reservation without a bill. */
   abstract release(reservation: Reservation): void;
 
-  /** Keeps the intent to dispatch a non-idempotent ticket; must resolve before dispatch. */
+  /**
+   * Records that a request that is not idempotent is about to be sent to a backend server. The
+   * request may be sent only after this has resolved.
+   */
   abstract recordIntent(ticket: TicketId): Promise<Result<'kept', Refusal>>;
 
-  /** States that an intended dispatch provably did not happen. */
+  /** Records that a request with a recorded intent was certainly not sent. */
   abstract recordNotRun(ticket: TicketId): void;
 
-  /** Binds a caller's key to a ticket. `keyDigest` covers account and key. */
+  /**
+   * Claims an idempotency key for a ticket.
+   *
+   * @param keyDigest Digest of the account and the caller's key.
+   */
   abstract claim(keyDigest: string, bodyDigest: string, ticket: TicketId): Promise<ClaimAnswer>;
 
   /**
-   * States that a ticket which may own a key has ended and will not be billed, so that another of the same
-   * key can be. Told to the platform as soon as it answers.
+   * Releases a claim that a ticket may have on a key. The ticket has ended and will not be billed,
+   * so another request with the same key may be. Repeats the write until the platform accepts it.
    */
   abstract giveUpClaim(keyDigest: string, bodyDigest: string, ticket: TicketId): void;
 
-  /** Finds out what became of a ticket that this incarnation did not issue. */
+  /** Looks up the outcome of a ticket that another incarnation issued. */
   abstract resolveTicket(ticket: TicketId): Promise<TicketResolution>;
 
-  /** Takes a claim over from a ticket that provably was not billed. */
+  /** Moves a claim to another ticket. The ticket `from` is known never to be billed. */
   abstract takeOverClaim(keyDigest: string, from: TicketId, to: TicketId): Promise<ClaimAnswer>;
 }
--- a/packages/router/src/types/moneyPorts.ts
+++ b/packages/router/src/types/moneyPorts.ts
@@ -1,4 +1,4 @@
-/** Seams between the budget services and what they need: the platform's store and the peers. */
+/** Interfaces through which the budget services use the platform's object store and the peers. */
 
 import type {
   AccountId,
@@ -10,24 +10,24 @@
 } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
 
-/** Why the store did not do what was asked; the codes are those of the platform client. */
+/** Why a store operation failed. The codes are those of the platform client. */
 export type StoreErrorCode =
   'conflict' | 'exists' | 'not-found' | 'unreachable' | 'too-large' | 'invalid' | 'too-old';
 
-/** The part of a platform error that the budget services read. */
+/** Fields of a platform error that the budget services read. */
 export interface StoreError {
   readonly code: StoreErrorCode;
   readonly message: string;
 }
 
-/** An object as stored; `version` orders all changes of the store. */
+/** A stored object. `version` increases with every write to the store, across all objects. */
 export interface StoredObject {
   name: string;
   version: string;
   value: unknown;
 }
 
-/** Objects with conditional updates. The platform package's client has this shape. */
+/** Object store with conditional updates. The client of the platform package satisfies it. */
 export interface ObjectStore {
   get(collection: string, name: string): Promise<Result<StoredObject, StoreError>>;
   list(collection: string): Promise<Result<StoredObject[], StoreError>>;
@@ -45,32 +45,32 @@
 }
 
 /**
- * Why a peer did not do what was asked. `unreachable` includes a lost reply, after which the peer
- * may have done it; `refused` means that it did not and will not.
+ * Why a call to a peer failed. `unreachable` includes a lost reply, after which the peer may have
+ * carried out the call. `refused` means that the peer rejected the call and did not carry it out.
  */
 export type PeerFault = 'unreachable' | 'refused';
 
-/** The journal after an append, without bills and outcomes, which the holder does not need. */
+/** The journal after an append. Bills and outcomes are left out: the holder does not need them. */
 export interface AppendAnswer {
-  /** Version of the platform object that `state` was written as. */
+  /** Version of the platform object that contains `state`. */
   version: string;
   state: JournalState;
 }
 
-/** What a router asks of the budget services of its peers; the mesh carries it. */
+/** Calls to the budget services of peers. The mesh transports them. */
 export interface MoneyPeers {
-  /** Asks the committer to put lines into the journal; resolves once they are in it. */
+  /** Asks the committer to append lines to the journal. Resolves once they are stored. */
   appendLines(peer: IncarnationId, lines: JournalLine[]): Promise<Result<AppendAnswer, PeerFault>>;
-  /** Asks a witness to keep lines in memory. */
+  /** Asks a witness to store lines in its memory. */
   keepLines(witness: IncarnationId, lines: JournalLine[]): Promise<Result<'kept', PeerFault>>;
-  /** Asks a witness to keep nothing more for a holder and to return what it has kept. */
+  /** Asks a witness to accept no more lines of a holder and to return those that it stores. */
   fenceHolder(
     witness: IncarnationId,
     holder: IncarnationId,
   ): Promise<Result<JournalLine[], PeerFault>>;
   /**
-   * Asks a peer to give idle tokens back, to the pool when `forDataCentre` is its own and else to
-   * the ledger; resolves with the amount that it made available.
+   * Asks a peer to return tokens that it does not use. They go to the pool when `forDataCentre` is
+   * the peer's own data centre, and otherwise to the ledger. Resolves with the amount returned.
    */
   recall(
     peer: IncarnationId,
@@ -80,7 +80,7 @@
   ): Promise<Result<Tokens, PeerFault>>;
 }
 
-/** The same four questions as asked by a peer; the mesh's procedures call these. */
+/** Handles the calls of {@link MoneyPeers} that peers make. The procedures of the mesh call it. */
 export interface MoneyPeerHandler {
   handleAppendLines(lines: JournalLine[]): Promise<Result<AppendAnswer, PeerFault>>;
   handleKeepLines(lines: JournalLine[]): Result<'kept', PeerFault>;
--- a/packages/router/src/types/ticketCodec.ts
+++ b/packages/router/src/types/ticketCodec.ts
@@ -1,16 +1,19 @@
-/** Text form of tickets, as callers see them. */
+/** Text form of tickets, as sent to callers. */
 
 import type { AccountId, TicketId } from '@flamingocourse/core';
 
-/** A ticket together with the account that it was issued to. */
+/** A ticket and the account that it was issued to. */
 export interface IssuedTicket {
   ticket: TicketId;
   account: AccountId;
 }
 
-/** Writes and checks tickets. Possession of the text is the right to ask for its answer. */
+/**
+ * Formats and verifies tickets. Whoever has the text of a ticket may fetch the answer of its request.
+ */
 export abstract class TicketCodec {
+  /** Formats a ticket as text. */
   abstract format(ticket: TicketId, account: AccountId): string;
-  /** Gives undefined for a text that this fleet did not issue. */
+  /** Parses a text. Returns undefined when this fleet did not issue it. */
   abstract parse(text: string): IssuedTicket | undefined;
 }
--- a/packages/router/src/utils/digest.ts
+++ b/packages/router/src/utils/digest.ts
@@ -1,9 +1,10 @@
-/** Digests of keys, bodies and prompts. */
+/** SHA-256 digests of keys, request bodies and prompts. */
 
 import { createHash } from 'node:crypto';
 
 /**
- * SHA-256 of the parts, in hex. Parts are separated, so that ('a', 'bc') and ('ab', 'c') differ.
+ * Returns the SHA-256 of the parts, in hex. Each part is prefixed with its length in bytes, so that
+ * ('a', 'bc') and ('ab', 'c') have different digests.
  *
  * @example
  * digest(account, idempotencyKey);
@@ -17,7 +18,7 @@
   return hash.digest('hex');
 }
 
-/** SHA-256 of an API key, in the form that declarations carry. */
+/** Returns the SHA-256 of an API key in hex, the form used in client account declarations. */
 export function apiKeyDigest(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
