--- a/packages/router/src/node/money/billLines.ts
+++ b/packages/router/src/node/money/billLines.ts
@@ -7,8 +7,8 @@
 const MAX_OUTCOME_BODY = 32_768;
 
 /**
- * Creates the bill, at most the reserved amount, and after it the outcome when there is one. The bill
- * comes first: an outcome marks the ticket as done, and a done ticket cannot be billed.
+ * Creates the bill, at most the reserved amount, and after it the outcome when there is one. The
+ * bill comes first: an outcome marks the ticket as done, and a done ticket cannot be billed.
  */
 export function billChanges(
   reservation: Reservation,
--- a/packages/router/src/node/money/claimKeeper.ts
+++ b/packages/router/src/node/money/claimKeeper.ts
@@ -23,8 +23,8 @@
 export const CLAIM_LIFETIME_MS = 15 * 60 * 1_000;
 
 /**
- * Most releases that wait to be written. Beyond this the oldest is dropped, and its claim stays until
- * the router that made it ends.
+ * Most releases that wait to be written. Beyond this the oldest is dropped, and its claim stays
+ * until the router that made it ends.
  */
 const MAX_UNRELEASED = 4_096;
 
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Releases a claim that a ticket without a bill may have. The release is written now, or at a later
-   * tick while the platform does not answer.
+   * Releases a claim that a ticket without a bill may have. The release is written now, or at a
+   * later tick while the platform does not answer.
    */
   release(keyDigest: string, bodyDigest: string, ticket: TicketId): void {
     const name = `${keyDigest} ${ticketName(ticket)}`;
@@ -112,8 +112,8 @@
     let answer: ClaimAnswer = { type: 'unreachable' };
     const written = await this.#writer(keyDigest).change((page) => {
       const pruned = this.#pruned(page);
-      // A full page accepts no new key, and the caller is advised to use a ticket. Dropping a recent
-      // claim to make room would let a retry run its request a second time.
+      // A full page accepts no new key, and the caller is advised to use a ticket. Dropping a
+      // recent claim to make room would let a retry run its request a second time.
       if (isFull(pruned) && !(keyDigest in pruned.claims)) return Result.ok(page);
       const decided = decide(pruned);
       answer = decided.answer;
--- a/packages/router/src/node/money/groupWriter.ts
+++ b/packages/router/src/node/money/groupWriter.ts
@@ -1,10 +1,11 @@
 /**
  * Group commit: changes one platform object by conditional update, with many changes per write.
  *
- * A change is a function of the state and must be idempotent. When a write conflicts, or its reply is
- * lost and it may or may not have taken effect, the object is read again and the change is applied to
- * the new state. A change that has no effect on the local copy is not checked against the store.
- * Callers whose decision depends on values that other routers change call `refresh` first.
+ * A change is a function of the state and must be idempotent. When a write conflicts, or its reply
+ * is lost and it may or may not have taken effect, the object is read again and the change is
+ * applied to the new state. A change that has no effect on the local copy is not checked against
+ * the store. Callers whose decision depends on values that other routers change call `refresh`
+ * first.
  */
 
 import type { ObjectStore, StoredObject, StoreError } from '../../types/moneyPorts.js';
@@ -150,7 +151,9 @@
     settleAll(changes, { type: 'unreachable' });
   }
 
-  /** Attempts one write on the newest known state. Returns false when the object must be read again. */
+  /**
+   * Attempts one write on the newest known state. Returns false when the object must be read again.
+   */
   async #attempt(changes: PendingChange<S, F>[], fresh: boolean): Promise<boolean> {
     const base = this.#latest;
     if (!base) return false;
--- a/packages/router/src/node/money/holderSession.ts
+++ b/packages/router/src/node/money/holderSession.ts
@@ -34,7 +34,9 @@
 /** Longest wait for a line to be kept, in milliseconds. After it the outcome counts as unknown. */
 const RECORD_TIMEOUT_MS = 5_000;
 
-/** Interval at which `close` checks whether the journal shows the holder closed, in milliseconds. */
+/**
+ * Interval at which `close` checks whether the journal shows the holder closed, in milliseconds.
+ */
 const CLOSE_POLL_MS = 10;
 
 /** Options of {@link HolderSession}. */
@@ -50,7 +52,9 @@
   onFailure: (err: unknown) => void;
 }
 
-/** Session of one incarnation, from its registration in the journal until it is closed or sealed. */
+/**
+ * Session of one incarnation, from its registration in the journal until it is closed or sealed.
+ */
 export class HolderSession {
   readonly spender: Spender;
   readonly log: LineLog;
@@ -78,7 +82,9 @@
     return this.#registered && this.spender.open && !this.log.sealed;
   }
 
-  /** Registers this incarnation in the journal. Returns false on failure; the caller then retries. */
+  /**
+   * Registers this incarnation in the journal. Returns false on failure; the caller then retries.
+   */
   async register(now: number): Promise<boolean> {
     const { writer, formerIncarnations } = this.#options;
     const witnesses = this.#chooseWitnesses();
@@ -167,8 +173,8 @@
   }
 
   /**
-   * Returns all tokens and closes the holder. Leaves it to be sealed by a peer while requests still have
-   * reservations or while the witness still stores lines.
+   * Returns all tokens and closes the holder. Leaves it to be sealed by a peer while requests still
+   * have reservations or while the witness still stores lines.
    */
   async close(witness: WitnessStore): Promise<void> {
     const { writer } = this.#options;
@@ -179,8 +185,8 @@
     if (!witness.isEmpty || this.spender.reservedTokens() > 0) return;
     witness.close();
     await this.log.record([{ type: 'close' }]);
-    // With the close line at a witness no tokens are lost. Once it is in the journal, no peer has to
-    // seal this holder.
+    // With the close line at a witness no tokens are lost. Once it is in the journal, no peer has
+    // to seal this holder.
     while (writer.reachable && !this.log.ended) await delay(CLOSE_POLL_MS);
   }
 
--- a/packages/router/src/node/money/ledgerPlan.ts
+++ b/packages/router/src/node/money/ledgerPlan.ts
@@ -1,4 +1,6 @@
-/** Computes the changes of one sync to a ledger page. Pure, so it can be repeated on a newer page. */
+/**
+ * Computes the changes of one sync to a ledger page. Pure, so it can be repeated on a newer page.
+ */
 
 import type {
   AccountId,
@@ -31,7 +33,9 @@
   rideThroughSeconds: number;
   dataCentres: number;
   now: EpochMs;
-  /** Whether tokens may be granted. False right after tokens were returned for other data centres. */
+  /**
+   * Whether tokens may be granted. False right after tokens were returned for other data centres.
+   */
   refills: boolean;
   /** Whether refills of an account are paused so that another data centre gets its tokens. */
   yields: (account: AccountId) => boolean;
@@ -42,7 +46,9 @@
 /** Fraction of the target below which tokens are granted. Avoids a write for each small spend. */
 const REFILL_BELOW_FRACTION = 0.75;
 
-/** Opens declared accounts, copies the counters of the journal and grants tokens up to the target. */
+/**
+ * Opens declared accounts, copies the counters of the journal and grants tokens up to the target.
+ */
 export function planPage(
   page: LedgerPage,
   accounts: ClientAccountDeclaration[],
--- a/packages/router/src/node/money/lineLog.ts
+++ b/packages/router/src/node/money/lineLog.ts
@@ -1,6 +1,7 @@
 /**
- * Stores the journal lines of one holder: in the journal or, when that takes too long, in the memory
- * of a witness. A line is kept once it is in either place, and its recorder waits until then.
+ * Stores the journal lines of one holder: in the journal or, when that takes too long, in the
+ * memory of a witness. A line is kept once it is in either place, and its recorder waits until
+ * then.
  */
 
 import type { AppendFault, LineTransport } from './lineRoutes.js';
--- a/packages/router/src/node/money/lineRoutes.ts
+++ b/packages/router/src/node/money/lineRoutes.ts
@@ -11,8 +11,8 @@
 export type JournalWriter = GroupWriter<JournalState, JournalFault>;
 
 /**
- * Why an append failed. With `sealed` the journal will never accept lines of this holder again; with
- * `unreachable` the lines may or may not be stored.
+ * Why an append failed. With `sealed` the journal will never accept lines of this holder again;
+ * with `unreachable` the lines may or may not be stored.
  */
 export type AppendFault = 'sealed' | 'unreachable';
 
@@ -20,8 +20,8 @@
 const COMMITTER_KEY = 'journal';
 
 /**
- * Line transport of this router. One router of each data centre, the committer, appends the lines of
- * all routers there; a router whose committer does not answer appends its lines itself.
+ * Line transport of this router. One router of each data centre, the committer, appends the lines
+ * of all routers there; a router whose committer does not answer appends its lines itself.
  */
 export class LineTransport {
   readonly #fleet: Fleet;
@@ -62,7 +62,10 @@
     return Result.ok({ version: written.value.version, state });
   }
 
-  /** Asks the witnesses in turn to store lines. Stops at the first that does and returns whether one did. */
+  /**
+   * Asks the witnesses in turn to store lines. Stops at the first that does and returns whether one
+   * did.
+   */
   async keepAtWitness(witnesses: IncarnationId[], lines: JournalLine[]): Promise<boolean> {
     for (const witness of witnesses) {
       const kept = await this.#peers.keepLines(witness, lines);
--- a/packages/router/src/node/money/moneyParts.ts
+++ b/packages/router/src/node/money/moneyParts.ts
@@ -50,8 +50,8 @@
   provisional: ProvisionalSettler;
   onFailure: (err: unknown) => void;
   /**
-   * Fetches tokens into the pool, first from the ledger and then from peers. Runs once at a time per
-   * account; further calls are ignored meanwhile.
+   * Fetches tokens into the pool, first from the ledger and then from peers. Runs once at a time
+   * per account; further calls are ignored meanwhile.
    */
   fetchTokens: (account: AccountId, amount: Tokens) => void;
 }
--- a/packages/router/src/node/money/moneyRefusals.ts
+++ b/packages/router/src/node/money/moneyRefusals.ts
@@ -5,7 +5,9 @@
 /** Retry hint in milliseconds: by then tokens may have been returned or topped up. */
 const RETRY_BUDGET_MS = 5_000;
 
-/** Retry hint in milliseconds: by then another router, a new incarnation or the platform may answer. */
+/**
+ * Retry hint in milliseconds: by then another router, a new incarnation or the platform may answer.
+ */
 const RETRY_SOON_MS = 1_000;
 
 /** Refusal while this incarnation is not registered yet, or after it was sealed. */
@@ -13,7 +15,7 @@
   return {
     reason: 'not-ready',
     run: 'not-run',
-    detail: 'This router holds no rights to budgets at the moment; try again.',
+    detail: 'This router cannot spend from budgets at the moment; try again.',
     retryAfterMs: RETRY_SOON_MS,
   };
 }
@@ -44,7 +46,8 @@
     return {
       reason: 'class-share-exhausted',
       run: 'not-run',
-      detail: 'The class of work has drawn its share of the budget; raise the share or top up.',
+      detail:
+        'The work class has used up its share of the budget; raise the share or top up the budget.',
       retryAfterMs: RETRY_BUDGET_MS,
     };
   }
--- a/packages/router/src/node/money/moneyService.ts
+++ b/packages/router/src/node/money/moneyService.ts
@@ -56,7 +56,9 @@
 /** Interval at which the journal is read again, in milliseconds. */
 const REFRESH_MS = 5_000;
 
-/** Interval at which the journal is read again while the platform does not answer, in milliseconds. */
+/**
+ * Interval at which the journal is read again while the platform does not answer, in milliseconds.
+ */
 const REFRESH_OUTAGE_MS = 500;
 
 /** Interval at which a waiting request tries to reserve tokens again, in milliseconds. */
@@ -65,7 +67,9 @@
 /** Longest wait for the slices to be returned when the service stops, in milliseconds. */
 const STOP_TIMEOUT_MS = 3_000;
 
-/** Options of {@link MoneyService}. The services `fleet` and `configuration` come from the kernel. */
+/**
+ * Options of {@link MoneyService}. The services `fleet` and `configuration` come from the kernel.
+ */
 export interface MoneyServiceOptions {
   context: RouterContext;
   store: ObjectStore;
@@ -202,7 +206,8 @@
     }
     const result = await session.record([{ type: 'intent', ticket: ticket.number }]);
     if (result.isOk) return Result.ok('kept');
-    // The intent may still get stored, although the request is not sent. The journal must record that.
+    // The intent may still get stored, although the request is not sent. The journal must record
+    // that.
     this.recordNotRun(ticket);
     return Result.err(refuseUnreachable());
   }
@@ -335,7 +340,10 @@
     this.#session = session;
   }
 
-  /** Opens a session for a new incarnation. The sealing of the old one returns its tokens to the pool. */
+  /**
+   * Opens a session for a new incarnation. The sealing of the old one returns its tokens to the
+   * pool.
+   */
   #onSealed(session: HolderSession, parts: MoneyParts): void {
     if (this.#session !== session || this.#stopping.closed) return;
     const holder = session.spender.holder;
--- a/packages/router/src/node/money/ownEndings.ts
+++ b/packages/router/src/node/money/ownEndings.ts
@@ -1,10 +1,10 @@
 /**
  * Finishes the sealing of this process's own former incarnations.
  *
- * Peers can take a running router for failed and start to seal it, and a witness of it can fail before
- * the sealer reaches that witness. The sealing could then never finish, and bills that only the
- * router and the witness have would stay in doubt forever. The process itself has all lines of the
- * former incarnation and writes no more of them, so it needs no witness to finish the sealing.
+ * Peers can take a running router for failed and start to seal it, and a witness of it can fail
+ * before the sealer reaches that witness. The sealing could then never finish, and bills that only
+ * the router and the witness have would stay in doubt forever. The process itself has all lines of
+ * the former incarnation and writes no more of them, so it needs no witness to finish the sealing.
  */
 
 import type { IncarnationId, JournalLine } from '@flamingocourse/core';
@@ -20,12 +20,17 @@
 export class SelfSealer {
   readonly #unfinished: UnfinishedSeal[] = [];
 
-  /** Adds an incarnation whose line log is closed, with all its lines that are not in the journal. */
+  /**
+   * Adds an incarnation whose line log is closed, with all its lines that are not in the journal.
+   */
   add(holder: IncarnationId, lines: readonly JournalLine[]): void {
     this.#unfinished.push({ holder, lines: [...lines] });
   }
 
-  /** Tries to finish each sealing. Repeats it at the next tick unless the journal wrote or refused it. */
+  /**
+   * Tries to finish each sealing. Repeats it at the next tick unless the journal wrote or refused
+   * it.
+   */
   async tick(writer: JournalWriter): Promise<void> {
     for (const seal of [...this.#unfinished]) {
       const written = await writer.change((state) => finishSeal(state, seal.holder, seal.lines));
--- a/packages/router/src/node/money/provisionalSettler.ts
+++ b/packages/router/src/node/money/provisionalSettler.ts
@@ -2,11 +2,11 @@
  * Settles provisional bills: bills of requests that were answered while their idempotency key could
  * not be claimed.
  *
- * Two data centres that were partitioned from each other and from the platform may have answered the
- * same key, or two routers during an outage of the platform. Each of them has then recorded a
+ * Two data centres that were partitioned from each other and from the platform may have answered
+ * the same key, or two routers during an outage of the platform. Each of them has then recorded a
  * provisional bill in its journal. Once claims can be read again, the ticket that owns the key is
- * billed and the others are void. Provisional bills are in the journal, so any router can settle them,
- * also after the router that answered has failed.
+ * billed and the others are void. Provisional bills are in the journal, so any router can settle
+ * them, also after the router that answered has failed.
  */
 
 import type { Bill, EpochMs, ProvisionalVerdict, TicketId } from '@flamingocourse/core';
@@ -18,11 +18,15 @@
 import { settleProvisional, ticketName } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 
-/** Key by which the fleet chooses the router that settles. Settling by several routers is harmless. */
+/**
+ * Key by which the fleet chooses the router that settles. Settling by several routers is harmless.
+ */
 const SETTLER_KEY = 'provisional';
 /** Interval between two rounds, in milliseconds. */
 const SETTLE_INTERVAL_MS = 500;
-/** Most bills settled in one round, so that the backlog of a long outage does not delay other work. */
+/**
+ * Most bills settled in one round, so that the backlog of a long outage does not delay other work.
+ */
 const MAX_PER_ROUND = 64;
 
 /** Options of {@link ProvisionalSettler}. */
@@ -101,7 +105,8 @@
     const { keyDigest = '', unclaimed = '' } = bill;
     const answer = await claims.claim(keyDigest, unclaimed, ticket);
     switch (answer.type) {
-      // With another body the key was claimed by a different request, so this one is billed as well.
+      // With another body the key was claimed by a different request, so this one is billed as
+      // well.
       case 'own':
       case 'other-body':
         return 'billed';
--- a/packages/router/src/node/money/sealer.ts
+++ b/packages/router/src/node/money/sealer.ts
@@ -75,7 +75,8 @@
     const lines: JournalLine[] = [];
     for (const named of state.holders[holder]?.witnesses ?? []) {
       const witness = answeringIncarnation(state, named);
-      // A router closes only after the lines that it stores are in the journal, and then accepts none.
+      // A router closes only after the lines that it stores are in the journal, and then accepts
+      // none.
       if (state.holders[witness]?.state === 'closed') continue;
       const answer = await this.#fence(witness, holder);
       if (!answer) {
--- a/packages/router/src/node/money/segmentRoller.ts
+++ b/packages/router/src/node/money/segmentRoller.ts
@@ -1,4 +1,6 @@
-/** Moves bills and answers from the journal into closed segments, so that the journal stays small. */
+/**
+ * Moves bills and answers from the journal into closed segments, so that the journal stays small.
+ */
 
 import type { EventLog } from '@flamingocourse/kernel';
 import type { BillSegment } from '@flamingocourse/core';
--- a/packages/router/src/node/money/ticketResolver.ts
+++ b/packages/router/src/node/money/ticketResolver.ts
@@ -85,8 +85,8 @@
 }
 
 /**
- * Whether a ticket that is not in the journal was certainly not billed. This is unknown for a holder
- * that an operator wrote off: its lost lines may have contained the ticket.
+ * Whether a ticket that is not in the journal was certainly not billed. This is unknown for a
+ * holder that an operator wrote off: its lost lines may have contained the ticket.
  */
 function isProvablyOver(holder: JournalHolder): boolean {
   return (holder.state === 'sealed' || holder.state === 'closed') && !holder.writtenOff;
--- a/packages/router/src/node/money/treasurer.ts
+++ b/packages/router/src/node/money/treasurer.ts
@@ -40,8 +40,8 @@
 
 /**
  * Minimum interval between two recalls of tokens of one account from other data centres, in
- * milliseconds. Several fit into the time that a request waits, because a recall may come before the
- * other data centre has tokens to return.
+ * milliseconds. Several fit into the time that a request waits, because a recall may come before
+ * the other data centre has tokens to return.
  */
 const RECALL_INTERVAL_MS = 100;
 
@@ -157,7 +157,9 @@
     if (recalled > 0) await this.#syncPage(page, shortfalls, true);
   }
 
-  /** Copies counters to the ledger page, grants to the journal, and returns surplus to the ledger. */
+  /**
+   * Copies counters to the ledger page, grants to the journal, and returns surplus to the ledger.
+   */
   async #syncPage(
     page: number,
     shortfalls: Map<AccountId, Tokens>,
@@ -204,7 +206,9 @@
     };
   }
 
-  /** Copies all grants of the page to the journal, also those that a failed owner had not copied. */
+  /**
+   * Copies all grants of the page to the journal, also those that a failed owner had not copied.
+   */
   async #copyGrants(ledger: LedgerPage): Promise<void> {
     const { journal, fleet } = this.#options;
     await journal.change((state) => {
@@ -252,9 +256,9 @@
       const isRecent = clock.now() - (this.#recalledAt.get(account) ?? 0) < RECALL_INTERVAL_MS;
       const entry = ledger.accounts[account];
       if (shortfall <= 0 || isRecent || !entry) continue;
-      // The pool may be short only because tokens were taken since the grant, while the ledger still
-      // has enough. Data centres that recall from each other in that case pass tokens back and forth
-      // and refuse requests in the meantime.
+      // The pool may be short only because tokens were taken since the grant, while the ledger
+      // still has enough. Data centres that recall from each other in that case pass tokens back
+      // and forth and refuse requests in the meantime.
       if (ungranted(entry) >= shortfall) continue;
       this.#recalledAt.set(account, clock.now());
       const asked = this.#peersHolding(entry).map((peer) =>
@@ -295,7 +299,8 @@
   }
 
   #isDue(page: number, now: EpochMs): boolean {
-    // Pages that are only read are read less often, because all routers read them and load the platform.
+    // Pages that are only read are read less often, because all routers read them and load the
+    // platform.
     const factor = this.#ownsPage(page) ? 1 : READ_INTERVAL_FACTOR;
     const age = now - (this.#syncedAt.get(page) ?? -Infinity);
     return age >= this.#options.ledgerSyncMs * factor;
--- a/packages/router/src/node/money/waitingTokens.ts
+++ b/packages/router/src/node/money/waitingTokens.ts
@@ -3,8 +3,8 @@
 import type { AccountId, Tokens } from '@flamingocourse/core';
 
 /**
- * Sums the amounts of the waiting requests, so that the tokens for all of them are fetched together.
- * Fetching for one request at a time would cost one round trip to the ledger per request.
+ * Sums the amounts of the waiting requests, so that the tokens for all of them are fetched
+ * together. Fetching for one request at a time would cost one round trip to the ledger per request.
  */
 export class WaitingTokens {
   readonly #sums = new Map<AccountId, Tokens>();
--- a/packages/router/src/types/money.ts
+++ b/packages/router/src/types/money.ts
@@ -49,8 +49,8 @@
 
 /**
  * Result of a claim on an idempotency key: the key belongs to the claiming ticket (`own`), to
- * another ticket (`other`), or to a request with another body (`other-body`). With `unreachable` the
- * owner is not known.
+ * another ticket (`other`), or to a request with another body (`other-body`). With `unreachable`
+ * the owner is not known.
  */
 export type ClaimAnswer =
   | { type: 'own' }
--- a/packages/router/src/types/ticketCodec.ts
+++ b/packages/router/src/types/ticketCodec.ts
@@ -9,7 +9,8 @@
 }
 
 /**
- * Formats and verifies tickets. Whoever has the text of a ticket may fetch the answer of its request.
+ * Formats and verifies tickets. Anyone who has the text of a ticket may fetch the answer of its
+ * request.
  */
 export abstract class TicketCodec {
   /** Formats a ticket as text. */
--- a/packages/router/src/utils/hmacTicketCodec.ts
+++ b/packages/router/src/utils/hmacTicketCodec.ts
@@ -1,4 +1,6 @@
-/** Ticket codec that signs with the fleet's shared secret, so that any router can verify a ticket. */
+/**
+ * Ticket codec that signs with the fleet's shared secret, so that any router can verify a ticket.
+ */
 
 import type { AccountId, TicketId } from '@flamingocourse/core';
 import type { IssuedTicket } from '../types/ticketCodec.js';
@@ -12,8 +14,8 @@
 const payloadSchema = z.tuple([z.string(), z.number().int().nonnegative(), z.string()]);
 
 /**
- * Implements {@link TicketCodec}. The text is the base64url of `[issuer, number, account]` in JSON, a
- * dot, and the base64url of an HMAC-SHA-256, truncated to 12 bytes.
+ * Implements {@link TicketCodec}. The text is the base64url of `[issuer, number, account]` in JSON,
+ * a dot, and the base64url of an HMAC-SHA-256, truncated to 12 bytes.
  *
  * @example
  * const codec = new HmacTicketCodec(settings.fleetSecret);
@@ -38,8 +40,9 @@
     if (text.length > MAX_TEXT_LENGTH) return undefined;
     const [encoded, mac, ...rest] = text.split('.');
     if (encoded === undefined || mac === undefined || rest.length > 0) return undefined;
-    // Compares the encoded texts, not the decoded bytes. The decoder ignores trailing characters, so
-    // one ticket would otherwise have many valid texts, each of which could get a claim of its own.
+    // Compares the encoded texts, not the decoded bytes. The decoder ignores trailing characters,
+    // so one ticket would otherwise have many valid texts, each of which could get a claim of its
+    // own.
     const given = Buffer.from(mac);
     const expected = Buffer.from(this.#mac(encoded).toString('base64url'));
     if (given.length !== expected.length || !timingSafeEqual(given, expected)) return undefined;
--- a/test/money/budgetOracle.test.ts
+++ b/test/money/budgetOracle.test.ts
@@ -13,16 +13,20 @@
 const refused = 'budget-exhausted';
 
 const cases = [
-  { says: 'nothing is left', records: [record(0, 'served'), record(50, refused)], naive: 0 },
-  { says: 'the rest was settled', records: [record(0, 'served'), record(100, refused)], naive: 1 },
-  { says: 'not for budget', records: [record(0, 'overloaded')], naive: 0, perfect: 0 },
-  { says: 'topped up', records: [record(0, 'served'), record(20, refused)], topUps: [topUp], naive: 1 }, // prettier-ignore
-  { says: 'hidden', records: [record(0, 'served'), record(20, refused)], topUps: [hidden], naive: 0, hiddenTopUps: 1 }, // prettier-ignore
-  { says: 'seen again', records: [record(0, 'served'), record(60, refused)], topUps: [hidden], naive: 1 }, // prettier-ignore
+  { name: 'no tokens are left', records: [record(0, 'served'), record(50, refused)], naive: 0 },
+  {
+    name: 'unused tokens were released before',
+    records: [record(0, 'served'), record(100, refused)],
+    naive: 1,
+  },
+  { name: 'refused for another reason', records: [record(0, 'overloaded')], naive: 0, perfect: 0 },
+  { name: 'after a top-up', records: [record(0, 'served'), record(20, refused)], topUps: [topUp], naive: 1 }, // prettier-ignore
+  { name: 'top-up not visible to the router yet', records: [record(0, 'served'), record(20, refused)], topUps: [hidden], naive: 0, hiddenTopUps: 1 }, // prettier-ignore
+  { name: 'top-up visible to the router again', records: [record(0, 'served'), record(60, refused)], topUps: [hidden], naive: 1 }, // prettier-ignore
 ];
 
-for (const { says, records, topUps = [], naive, perfect = 1, hiddenTopUps = 0 } of cases) {
-  test(`a refusal against oracles with 150 tokens: ${says}`, () => {
+for (const { name, records, topUps = [], naive, perfect = 1, hiddenTopUps = 0 } of cases) {
+  test(`false refusals counted against a budget of 150 tokens: ${name}`, () => {
     const budgets = new Map([['kirk', 150]]);
     const found = countFalseRefusals('naive', budgets, records, topUps);
     assert.deepEqual(found, { count: naive, hiddenTopUp: hiddenTopUps });
@@ -30,7 +34,7 @@
   });
 }
 
-test('a plan is the same for the same seed and skewed over routers', () => {
+test('a request plan is deterministic for a seed and skewed towards the first router', () => {
   const size = { seconds: 10, ratePerSecond: 100, routers: 8, accounts: ['kirk', 'altan'] };
   const plan = planRequests(size, createRandom(3));
   assert.deepEqual(plan, planRequests(size, createRandom(3)));
--- a/test/money/claims.test.ts
+++ b/test/money/claims.test.ts
@@ -13,8 +13,9 @@
 const owned = claim(empty, KEY, claimOf(1)).page;
 const givenUp = giveUp(owned, KEY, claimOf(1));
 
-describe('what a page says after a ticket that ended without a bill gave its claim up', () => {
-  // guards against a bill that waits for a ticket which never will be billed, and against two bills for a key.
+describe('a claim page after a ticket that ended without a bill released its claim', () => {
+  // Guards against a provisional bill that waits forever for a ticket that is never billed, and
+  // against two bills for one key.
   const cases: readonly {
     name: string;
     before: ClaimPage;
@@ -23,9 +24,16 @@
     isGivenUp: boolean;
     isWritten: boolean;
   }[] = [
-    { name: 'its own', before: owned, ended: 1, owner: 1, isGivenUp: true, isWritten: true },
     {
-      name: 'a claim that did not arrive yet',
+      name: 'a claim of its own',
+      before: owned,
+      ended: 1,
+      owner: 1,
+      isGivenUp: true,
+      isWritten: true,
+    },
+    {
+      name: 'a claim that has not been written yet',
       before: empty,
       ended: 1,
       owner: 1,
@@ -33,7 +41,7 @@
       isWritten: true,
     },
     {
-      name: 'the claim of another',
+      name: 'a claim of another ticket',
       before: owned,
       ended: 2,
       owner: 1,
@@ -41,7 +49,7 @@
       isWritten: false,
     },
     {
-      name: 'what it gave up before',
+      name: 'a claim that it has already released',
       before: givenUp,
       ended: 1,
       owner: 1,
@@ -49,7 +57,7 @@
       isWritten: false,
     },
     {
-      name: 'what another gave up, as its own claim may be on its way',
+      name: 'a claim that another ticket released, while its own claim may still be in flight',
       before: givenUp,
       ended: 2,
       owner: 2,
@@ -67,8 +75,8 @@
   }
 });
 
-describe('a key that was given up', () => {
-  test('belongs to the next that claims it', () => {
+describe('a key whose claim was released', () => {
+  test('belongs to the next ticket that claims it', () => {
     const { page, answer } = claim(givenUp, KEY, claimOf(2));
     assert.equal(answer.type, 'own');
     assert.deepEqual(page.claims[KEY], claimOf(2));
@@ -78,7 +86,7 @@
     assert.equal(claim(givenUp, KEY, claimOf(2, 'else')).answer.type, 'other-body');
   });
 
-  test('is owned in full by a ticket that takes it over', () => {
+  test('belongs to a ticket that takes the claim over', () => {
     const { ticket } = claimOf(2);
     const { page } = takeOver(givenUp, KEY, claimOf(1).ticket, ticket, 5);
     assert.deepEqual(page.claims[KEY], { ticket, bodyDigest: 'body', at: 5 });
--- a/test/money/journal.test.ts
+++ b/test/money/journal.test.ts
@@ -52,10 +52,10 @@
 const take = (amount: number): JournalChange => ({ type: 'take', account: KIRK, amount });
 
 const intervalCases = [
-  { name: 'first', set: [], add: 4, want: [[4, 4]] },
-  { name: 'joins both sides', set: [[1, 3], [5, 6]], add: 4, want: [[1, 6]] }, // prettier-ignore
-  { name: 'stands alone', set: [[1, 1]], add: 9, want: [[1, 1], [9, 9]] }, // prettier-ignore
-  { name: 'is in already', set: [[1, 9]], add: 5, want: [[1, 9]] },
+  { name: 'is the first', set: [], add: 4, want: [[4, 4]] },
+  { name: 'joins two intervals', set: [[1, 3], [5, 6]], add: 4, want: [[1, 6]] }, // prettier-ignore
+  { name: 'is not adjacent to an interval', set: [[1, 1]], add: 9, want: [[1, 1], [9, 9]] }, // prettier-ignore
+  { name: 'is already contained', set: [[1, 9]], add: 5, want: [[1, 9]] },
 ] as { name: string; set: [number, number][]; add: number; want: [number, number][] }[];
 
 for (const { name, set, add, want } of intervalCases) {
@@ -64,7 +64,7 @@
   });
 }
 
-test('a take gives no more than the pool and a give refills it', () => {
+test('a take gets no more than the pool has, and a give adds to the pool', () => {
   const state = apply(journalWith('a'), linesOf('a', take(700), take(700)));
   assert.equal(state.holders.a?.slices[KIRK], 1_000);
   assert.equal(pool(state, KIRK), 0);
@@ -90,9 +90,9 @@
   });
 }
 
-test('lines sent twice, also by two routes, count once', () => {
-  // a caller would see one request billed twice; the reply to the first write was lost, the holder
-  // wrote again and its witness wrote the same lines as well.
+test('lines that arrive twice, also by different routes, are applied once', () => {
+  // Guards against a request that is billed twice: the reply to the first write is lost, the holder
+  // repeats the write, and its witness writes the same lines as well.
   const lines = linesOf('a', take(500), { type: 'bill', bill: billOf('a', 1, 100) });
   const state = apply(journalWith('a'), lines);
   assert.equal(apply(state, lines), state);
@@ -106,9 +106,10 @@
   assert.equal(state.bills.length, 1);
 });
 
-test('a paused holder that wakes after its sealing can write nothing', () => {
-  // a caller would get an answer that nobody pays for: the holder froze, a peer sealed it and its
-  // slice went to others; then it wakes and bills from the slice that it believes it has.
+test('a paused holder that resumes after it was sealed cannot write lines', () => {
+  // Guards against an answer that is never billed: the holder pauses, a peer seals it, and its
+  // slice returns to the pool. Then the holder resumes and bills from a slice that it no longer
+  // has.
   const held = apply(journalWith('a'), linesOf('a', take(500)));
   const sealing = startSeal(held, 'a').unwrapOr(held);
   assert.equal(inDoubt(sealing, KIRK), 500);
@@ -124,8 +125,9 @@
 });
 
 test('a receiver sealed before the transfer arrives charges the pool once', () => {
-  // an account would lose tokens that nobody spent: b was told of the transfer, billed and was
-  // sealed while a's line was still at a witness; b's slice stands below zero until it arrives.
+  // Guards against tokens that are lost without being spent: b receives the transfer, bills and is
+  // sealed while the transfer line of a is only at a witness. Until the line arrives, the slice of
+  // b is negative.
   let state = apply(journalWith('a', 'b'), linesOf('a', take(1_000)));
   state = apply(state, linesOf('b', { type: 'bill', bill: billOf('b', 1, 60) }));
   assert.equal(checkInvariant(state), undefined);
@@ -138,7 +140,7 @@
   assert.equal(checkInvariant(state), undefined);
 });
 
-test('a holder lost with its witness is billed as unattributed, not freed', () => {
+test('the slice of a holder lost together with its witness is counted as spent, not freed', () => {
   let state = apply(journalWith('a'), linesOf('a', take(300)));
   state = startSeal(state, 'a').unwrapOr(state);
   state = writeOff(state, 'a', 5).unwrapOr(state);
@@ -147,16 +149,16 @@
   assert.equal(state.holders.a?.writtenOff, true);
 });
 
-test('a return comes out of the pool only, and a late copy of a grant changes nothing', () => {
+test('a return takes tokens from the pool only, and a late copy of a grant has no effect', () => {
   const state = apply(journalWith('a'), linesOf('a', take(800)));
   const returned = startReturn(state, KIRK, 500);
   assert.equal(returned.accounts[KIRK]?.returnedOut, 200);
   assert.equal(recordGrant(returned, KIRK, 900), returned);
 });
 
-test('a segment written by a router that died is rolled with the bills it has, no more', () => {
-  // a treasurer would miss a launch in the invoice: the router created the segment and died, and
-  // a bill came before the next router rolled the journal.
+test('rolling a segment left by a crashed router removes only the bills in that segment', () => {
+  // Guards against a bill that is missing from the invoice: a router creates the segment and
+  // crashes, and a bill is added before another router rolls the journal.
   const first = linesOf('a', take(500), { type: 'bill', bill: billOf('a', 1, 10) });
   const state = apply(journalWith('a'), first);
   const segment = openSegment(state);
@@ -172,7 +174,7 @@
   assert.equal(rollSegment(rolled, segment), rolled);
 });
 
-test('ended holders are pruned oldest first, but none that still owes', () => {
+test('sealed holders are pruned, except those whose bills are still in the journal', () => {
   let state = journalWith('a', 'b');
   state = apply(state, linesOf('a', { type: 'bill', bill: billOf('a', 1, 5) }));
   for (const holder of ['a', 'b']) {
--- a/test/money/killPoints.test.ts
+++ b/test/money/killPoints.test.ts
@@ -28,37 +28,38 @@
   at: 0,
 };
 
-/** Steps of one request in order; the router dies after the named one. */
+/** Steps of one request in order. The router crashes after the step named in the case. */
 const steps = ['reserve', 'send', 'settle', 'line-sent', 'line-kept', 'final-event'] as const;
 
 interface KillPoint {
-  dies: (typeof steps)[number];
+  crashesAfter: (typeof steps)[number];
   platform: 'up' | 'out';
   billed: number;
 }
 
 const killPoints: KillPoint[] = [
-  { dies: 'reserve', platform: 'up', billed: 0 },
-  { dies: 'send', platform: 'up', billed: 0 },
-  { dies: 'settle', platform: 'up', billed: 0 },
-  { dies: 'line-sent', platform: 'up', billed: 80 },
-  { dies: 'line-kept', platform: 'up', billed: 80 },
-  { dies: 'final-event', platform: 'up', billed: 80 },
-  { dies: 'settle', platform: 'out', billed: 0 },
-  { dies: 'line-sent', platform: 'out', billed: 80 },
-  { dies: 'line-kept', platform: 'out', billed: 80 },
-  { dies: 'final-event', platform: 'out', billed: 80 },
+  { crashesAfter: 'reserve', platform: 'up', billed: 0 },
+  { crashesAfter: 'send', platform: 'up', billed: 0 },
+  { crashesAfter: 'settle', platform: 'up', billed: 0 },
+  { crashesAfter: 'line-sent', platform: 'up', billed: 80 },
+  { crashesAfter: 'line-kept', platform: 'up', billed: 80 },
+  { crashesAfter: 'final-event', platform: 'up', billed: 80 },
+  { crashesAfter: 'settle', platform: 'out', billed: 0 },
+  { crashesAfter: 'line-sent', platform: 'out', billed: 80 },
+  { crashesAfter: 'line-kept', platform: 'out', billed: 80 },
+  { crashesAfter: 'final-event', platform: 'out', billed: 80 },
 ];
 
-for (const { dies, platform, billed } of killPoints) {
-  test(`a router that dies after ${dies} with the platform ${platform} leaves ${billed} billed`, () => {
-    // a member would pay twice for one tow, or for none: the router dies at this point, a peer
-    // seals it with what the witness kept, and the whole slice but the bill is free again.
+for (const { crashesAfter, platform, billed } of killPoints) {
+  test(`a crash after ${crashesAfter} with the platform ${platform} leaves ${billed} tokens billed`, () => {
+    // Guards against a request that is billed twice, a bill for a request that was not completed,
+    // and tokens lost in a crash. The router crashes at this step, and a peer seals it with the
+    // lines of the witness. After that, the whole slice except the bill is free again.
     const { journal: started, spender } = start();
     let journal = started;
     let witness = createWitness();
     const reached = (step: (typeof steps)[number]): boolean =>
-      steps.indexOf(step) <= steps.indexOf(dies);
+      steps.indexOf(step) <= steps.indexOf(crashesAfter);
     const request = { account: KIRK, workClass: 'w', amount: 200, budgetShare: 1, floor: 0 };
     const reservation = spender.reserve(request).unwrapOrElse((reason) => assert.fail(reason));
     assert.equal(spender.free(KIRK), 300);
@@ -67,7 +68,7 @@
       spender.release(reservation);
       assert.equal(spender.free(KIRK), 420);
     }
-    // a line that was sent takes effect also when its sender does not live to see the reply.
+    // A line that was sent takes effect even if its sender crashes before the reply arrives.
     if (reached('line-sent') && platform === 'up') {
       journal = applyLines(journal, spender.unapplied).unwrapOr(journal);
     }
@@ -78,7 +79,7 @@
     journal = finishSeal(journal, 'a', fence(witness, 'a').lines).unwrapOr(journal);
     assert.equal(journal.accounts[KIRK]?.spent ?? 0, billed);
     assert.equal(pool(journal, KIRK), 1_000 - billed);
-    // the frozen router wakes and writes what it believes it still may.
+    // The router resumes and tries to write another bill.
     spender.append({ type: 'bill', bill: { ...bill, ticket: 2 } });
     assert.equal(applyLines(journal, spender.unapplied).isErr, true);
     assert.equal(keepLines(fence(witness, 'a').state, spender.unapplied, journal).isErr, true);
@@ -97,10 +98,10 @@
 }
 
 const shortages = [
-  { name: 'lacks tokens', over: { amount: 501 }, want: 'no-tokens' },
+  { name: 'exceeds the free tokens', over: { amount: 501 }, want: 'no-tokens' },
   { name: 'asks for more than the budget has', over: { amount: 2_001 }, want: 'budget-spent' },
-  { name: 'is over its class share', over: { budgetShare: 0.05 }, want: 'class-share' },
-  { name: 'would use what is left for the first', over: { floor: 1_950 }, want: 'reserved-for-first' }, // prettier-ignore
+  { name: 'exceeds the share of its class', over: { budgetShare: 0.05 }, want: 'class-share' },
+  { name: 'would use tokens reserved for requests of importance first', over: { floor: 1_950 }, want: 'reserved-for-first' }, // prettier-ignore
   { name: 'costs nothing', over: { amount: 0, budgetShare: 0 }, want: 'set aside' },
 ];
 
--- a/test/money/ledger.test.ts
+++ b/test/money/ledger.test.ts
@@ -18,7 +18,7 @@
   takeOver,
 } from '@flamingocourse/core';
 
-/** By itself the library plays some ten steps, in which a budget is hardly ever granted whole. */
+/** By default fast-check generates about ten steps, which rarely grant a whole budget. */
 const LENGTH = { minLength: 20, maxLength: 80, size: 'max' } as const;
 const KIRK = 'kirk';
 const opened = openAccount(createLedgerPage(0), KIRK, 1_000, 0);
@@ -27,7 +27,7 @@
   return changeBudget(page, KIRK, { id, amount, by: 'oyun', at: 1 }).unwrapOr(page);
 }
 
-test('a top-up whose reply was lost and that is repeated counts once', () => {
+test('a top-up that is repeated after a lost reply is applied once', () => {
   const once = change(opened, 'receipt-1', 500);
   assert.equal(change(once, 'receipt-1', 500), once);
   assert.equal(once.accounts[KIRK]?.limit, 1_500);
@@ -35,7 +35,7 @@
   assert.equal(reused.isErr && reused.error.code, 'id-reused');
 });
 
-test('a reduction goes down to what is held, and the rest follows the returns', () => {
+test('a reduction stops at the granted amount, and the rest is applied as tokens are returned', () => {
   const granted = grant(opened, KIRK, 'dc-a', 800);
   const reduced = change(granted, 'cut', -600);
   assert.deepEqual(
@@ -50,7 +50,7 @@
   );
 });
 
-test('no order of grants, returns, spend and changes grants more than the limit', () => {
+test('no sequence of grants, returns, spending and budget changes grants more than the limit', () => {
   const dataCentre = fc.constantFrom('dc-a', 'dc-b');
   const kind = fc.constantFrom('grant', 'return', 'spend', 'change');
   const step = fc.tuple(kind, dataCentre, fc.integer({ min: -900, max: 900 }));
@@ -70,7 +70,7 @@
   );
 });
 
-test('an account keeps its page', () => {
+test('an account always maps to the same page', () => {
   assert.equal(pageOf(KIRK, 1), 0);
   assert.equal(pageOf(KIRK, 64), pageOf(KIRK, 64));
   const pages = new Set(Array.from({ length: 200 }, (_, index) => pageOf(`account-${index}`, 4)));
@@ -102,7 +102,7 @@
   });
 }
 
-test('of two routers that take a claim over, one wins and the other learns it', () => {
+test('when two routers take over a claim, one gets it and the other gets the owner', () => {
   const ticketC = { issuer: 'dc-c/router-1/z', number: 3 };
   const taken = takeOver(claimed, 'key', ticketA, ticketB, 20);
   assert.equal(taken.answer.type, 'own');
@@ -115,15 +115,15 @@
 const policies = ['avoid-overspend', 'avoid-false-refusals'] as const;
 
 for (const policy of policies) {
-  test(`${policy}: levels shrink with the budget and a shortfall is met while tokens remain`, () => {
+  test(`${policy}: targets shrink with the budget, and a shortfall is granted while tokens remain`, () => {
     const sizing = createSlicePolicy(policy);
     const situation = { demandPerSecond: 100, rideThroughSeconds: 600, dataCentres: 4 };
-    const levels = [1_000_000, 100_000, 1_000, 0].map((remaining) =>
+    const targets = [1_000_000, 100_000, 1_000, 0].map((remaining) =>
       sizing.grantTarget({ ...situation, remaining, shortfall: 0 }),
     );
     assert.deepEqual(
-      levels,
-      [...levels].sort((left, right) => right - left),
+      targets,
+      [...targets].sort((left, right) => right - left),
     );
     assert.equal(sizing.grantTarget({ ...situation, remaining: 600, shortfall: 500 }), 500);
     assert.equal(sizing.grantTarget({ ...situation, remaining: 300, shortfall: 500 }), 300);
--- a/test/money/moneyFaults.test.ts
+++ b/test/money/moneyFaults.test.ts
@@ -13,9 +13,10 @@
 const CLIENTS = 12;
 
 for (const seed of [1, 2, 3]) {
-  test(`random cuts, outages and lost replies: every kept bill once, no overspend (${seed})`, async (t) => {
-    // an account would be charged twice, or an answer given for nothing, or the budget exceeded:
-    // routers are cut off and come back while the store fails, and clients go on all the time.
+  test(`random partitions, outages and lost replies: every kept bill is stored once, no overspend (seed ${seed})`, async (t) => {
+    // Guards against accounts charged twice, answers that are not billed, and spending beyond the
+    // budget. Routers are partitioned and reconnected and the store fails while clients send
+    // requests.
     const world = new MoneyWorld(LIMIT, 'avoid-false-refusals');
     for (const name of ['router-1', 'router-2', 'router-3']) world.add(name);
     world.add('router-4', 'dc-b');
@@ -62,7 +63,7 @@
   if (billed.isOk) kept.add(`${ticket.issuer}#${ticket.number}`);
 }
 
-/** Every holder that is not in use has ended. */
+/** Whether every holder is open if its router uses it, and sealed otherwise. */
 function isSettled(world: MoneyWorld): boolean {
   const live = new Set(world.routers.map((router) => router.incarnation));
   return journalsOf(world).every((journal) =>
@@ -83,7 +84,10 @@
   assert.deepEqual(missingBills(world, kept), []);
 }
 
-/** A kept bill may be in the memory of a witness yet: its line gets to the journal soon after. */
+/**
+ * Returns the kept bills that are not in a journal. A kept bill may still be in the memory of a
+ * witness and reach the journal shortly after.
+ */
 function missingBills(world: MoneyWorld, kept: Set<string>): string[] {
   const billed = new Set(billedTickets(world));
   return [...kept].filter((ticket) => !billed.has(ticket));
--- a/test/money/moneyProperties.test.ts
+++ b/test/money/moneyProperties.test.ts
@@ -31,16 +31,16 @@
     }
   | { type: 'start-seal' | 'finish-seal'; who: number; amount: number };
 
-/** Three routers with one witness, which step in any order; replies may be lost. */
+/** Three routers and one witness. Their steps run in any order, and replies may be lost. */
 class World {
   journal: JournalState = recordGrant(createJournal('dc-a'), KIRK, LIMIT);
   witness = createWitness();
-  /** The journal as the witness has read it, and as a delayed read still shows it. */
+  /** The journal as the witness last read it, and as a delayed read returns it. */
   #witnessView: JournalState;
   #oldView: JournalState;
-  /** What the witness answered to each fence. */
+  /** Lines that the witness returned when each holder was fenced. */
   readonly #fenced = new Map<string, JournalLine[]>();
-  /** Tickets whose final event a caller has seen. */
+  /** Tickets whose final event was sent to a caller. */
   readonly seen = new Set<string>();
   readonly #spenders = HOLDERS.map((holder) => new Spender(holder));
   readonly #reserved = new Map<string, SpenderReservation[]>();
@@ -96,7 +96,7 @@
     }
   }
 
-  /** Seals everyone, so that all kept lines are in the journal. */
+  /** Seals all holders, so that all kept lines are in the journal. */
   end(): void {
     for (const holder of HOLDERS) {
       this.#startSeal(holder);
@@ -188,7 +188,8 @@
 );
 
 test('no interleaving of writes, lost replies, witnesses and seals overspends or loses a bill', () => {
-  // An account is charged beyond its budget, or an answer that was seen is on no invoice, as a sealed router goes on with its slice.
+  // Guards against spending beyond a budget and against answers without a bill, when a sealed
+  // router continues to spend from its slice.
   fc.assert(
     fc.property(fc.array(step, { minLength: 20, maxLength: 80, size: 'max' }), (steps) => {
       const world = new World();
--- a/test/money/moneyService.test.ts
+++ b/test/money/moneyService.test.ts
@@ -8,7 +8,7 @@
 
 const details = { service: 'llm', cost: 80, promptTokens: 30, completionTokens: 50 };
 
-/** Runs a body against routers of one data centre, and stops them after it. */
+/** Starts routers of one data centre, runs a test body against them and stops them. */
 async function withRouters(
   count: number,
   tokens: number,
@@ -40,14 +40,14 @@
   return result.isErr ? result.error : assert.fail('was reserved');
 }
 
-test('a request is reserved, billed and settled; the ledger learns the spend', async () => {
+test('a request is reserved and billed, and its cost is copied to the ledger', async () => {
   await withRouters(2, 10_000, async (world, routers) => {
     for (const router of routers) {
       const reservation = await reserve(router, 200);
       const billed = await router.money.bill(reservation, router.money.nextTicket(), details);
       assert.equal(billed.isOk, true);
     }
-    // a kept bill may be at a witness for a moment before the journal has it.
+    // A kept bill may be at a witness for a short time before it is in the journal.
     await until(() => world.journal().accounts[KIRK]?.spent === 160);
     await until(() => world.ledger().accounts[KIRK]?.shares['dc-a']?.spent === 160);
   });
@@ -67,7 +67,7 @@
   });
 });
 
-test('a refusal names the cause and when to come back', async () => {
+test('a refusal contains the reason and a retry time', async () => {
   await withRouters(1, 1_000, async (world, [router]) => {
     assert.ok(router);
     const exhausted = await refusalOf(router, 1_001);
@@ -80,8 +80,9 @@
   });
 });
 
-test('a write whose reply is lost bills once', async () => {
-  // a member would pay twice for one tow: the platform takes the bill and its reply is lost.
+test('a bill whose write is repeated after a lost reply is charged once', async () => {
+  // Guards against a request that is billed twice: the platform stores the bill, but its reply is
+  // lost.
   await withRouters(1, 10_000, async (world, [router]) => {
     assert.ok(router);
     const reservation = await reserve(router, 200);
@@ -92,9 +93,9 @@
   });
 });
 
-test('during an outage a witness keeps the bill, and the journal has it afterwards', async () => {
-  // an answer given during an outage would be missing from the invoice, or be charged twice: the
-  // platform is out, a peer keeps the line, and holder and peer both replay it afterwards.
+test('a bill made during an outage is stored by a witness and replayed to the journal afterwards', async () => {
+  // Guards against an answer that is billed twice or not at all: the platform is unreachable, a
+  // peer stores the line, and both the holder and the peer replay it afterwards.
   await withRouters(2, 10_000, async (world, routers) => {
     const router = routers[1] ?? assert.fail();
     const named = (): string[] => world.journal().holders[router.incarnation]?.witnesses ?? [];
@@ -110,7 +111,7 @@
   });
 });
 
-/** Steps of one request; router A freezes after the named one and B takes over. */
+/** Steps of one request. Router A is isolated after the named step, and router B seals it. */
 const freezes = [
   { after: 'reserve', platform: 'none', billed: 0, found: 'not-run' },
   { after: 'intent', platform: 'none', billed: 0, found: 'started' },
@@ -119,9 +120,10 @@
 ] as const;
 
 for (const { after, platform, billed, found } of freezes) {
-  test(`A freezes after ${after} (store fault: ${platform}); B seals it: ${found}`, async () => {
-    // a family's bed would be reserved twice, or the tokens of a dead router be lost: A freezes, B
-    // seals it and is asked about the ticket; then A wakes and bills what it has in progress.
+  test(`A is isolated after ${after} (store fault: ${platform}), and B seals it: ${found}`, async () => {
+    // Guards against a request that runs twice and against lost tokens of a failed router. A is
+    // isolated, B seals it and resolves the ticket. Then A reconnects and bills an in-flight
+    // request.
     await withRouters(2, 1_000, async (world, [a, b]) => {
       assert.ok(a && b);
       await until(() => world.journal().holders[a.incarnation]?.witnesses.length === 1);
@@ -139,7 +141,7 @@
       await until(() => world.journal().holders[old]?.state === 'sealed');
       assert.equal((await b.money.resolveTicket(ticket)).type, found);
       assert.equal(world.journal().accounts[KIRK]?.spent, billed);
-      // everything but the bill can be spent at B.
+      // B can spend all tokens except those billed.
       b.money.release(await reserve(b, 1_000 - billed));
       const stale = a.money.bill(late, a.money.nextTicket(), details);
       a.isolated = false;
@@ -151,7 +153,7 @@
   });
 }
 
-test('an answer that was kept is found by another router after its issuer is gone', async () => {
+test('a kept answer is found by another router after its issuer has failed', async () => {
   await withRouters(2, 1_000, async (world, [a, b]) => {
     assert.ok(a && b);
     const ticket = a.money.nextTicket();
@@ -159,7 +161,7 @@
     const outcome = { holder: ticket.issuer, ticket: ticket.number, ...kept };
     await a.money.bill(await reserve(a, 100), ticket, details, outcome);
     assert.equal((await b.money.resolveTicket(ticket)).type, 'elsewhere');
-    // a kept answer may be at a witness for a moment before the journal has it.
+    // A kept answer may be at a witness for a short time before it is in the journal.
     await until(() => world.journal().accounts[KIRK]?.spent === 80);
     a.isolated = true;
     assert.deepEqual(await b.money.resolveTicket(ticket), { type: 'answered', outcome });
@@ -167,9 +169,9 @@
   });
 });
 
-test('a dead router stays in doubt until all its witnesses answer, and is sealed then', async () => {
-  // an answer would go unbilled: A's bill is kept at C only, A and C vanish together, and B must
-  // not free A's slice before C has told what it kept.
+test('a failed router stays in doubt until all its witnesses answer, and is then sealed', async () => {
+  // Guards against an answer that is not billed: only C stores the bill of A, and A and C fail
+  // together. B must not free the slice of A before C has returned its lines.
   await withRouters(3, 3_000, async (world, [a, b, c]) => {
     assert.ok(a && b && c);
     const old = a.incarnation;
@@ -194,9 +196,9 @@
   });
 });
 
-test('a router that was sealed by mistake ends its own doubt, though a witness is gone', async () => {
-  // a club's tokens stay in doubt for good although their holder lives: it was paused, a peer began
-  // to seal it, and one of its witnesses had died meanwhile. Nobody asked the holder itself.
+test('a running router that a peer began to seal finishes its own sealing without its failed witness', async () => {
+  // Guards against tokens that stay in doubt although their holder is running: the holder was
+  // paused, a peer began to seal it, and one of its witnesses failed in the meantime.
   await withRouters(3, 10_000, async (world, [a, b, c]) => {
     assert.ok(a && b && c);
     const { incarnation } = a;
@@ -212,7 +214,7 @@
   });
 });
 
-test('tokens idle in another data centre are recalled before a request is refused', async () => {
+test('unused tokens of another data centre are recalled before a request is refused', async () => {
   const world = new MoneyWorld(1_000, 'avoid-false-refusals');
   const a = world.add('router-1');
   const b = world.add('router-2', 'dc-b');
@@ -227,9 +229,10 @@
   }
 });
 
-test('data centres in need at once take from the ledger, not from each other', async () => {
-  // a full account is refused: two data centres lack tokens at the same time, each asks the other
-  // for some, and both leave the ledger's plenty to the one that asked.
+test('data centres that need tokens at the same time get them from the ledger, not from each other', async () => {
+  // Guards against refusals while the ledger has enough tokens: two data centres are short at the
+  // same time, each recalls tokens from the other, and both pause their refills in favour of the
+  // other.
   const world = new MoneyWorld(200_000_000, 'avoid-false-refusals');
   for (const name of ['a-1', 'a-2', 'b-1', 'b-2']) world.add(`router-${name}`, `dc-${name[0]}`);
   await world.start();
@@ -256,7 +259,7 @@
   }
 });
 
-test('a graceful stop gives everything back and closes the holder', async () => {
+test('a graceful stop returns all tokens and closes the holder', async () => {
   await withRouters(2, 1_000, async (world, [a, b]) => {
     assert.ok(a && b);
     a.money.release(await reserve(a, 400));
@@ -268,7 +271,7 @@
   });
 });
 
-test('two routers that claim one key learn of one owner, also when a reply is lost', async () => {
+test('two routers that claim one key get the same owner, also when a reply is lost', async () => {
   await withRouters(2, 1_000, async (world, [a, b]) => {
     assert.ok(a && b);
     const ticket = a.money.nextTicket();
@@ -282,10 +285,12 @@
   });
 });
 
-// a volunteer's draft is answered twice under one key, once on each side of an outage, because no
-// router can read the claim, and the charity pays for both. After the heal one of the two is billed.
+// Guards against two bills for one idempotency key: two routers answer the key during an outage,
+// because neither can read the claim. After the outage only one of the two answers is billed.
 for (const died of [false, true]) {
-  const when = died ? 'also when one of them died meanwhile' : 'once claims can be read again';
+  const when = died
+    ? 'also when one of them failed in the meantime'
+    : 'once claims can be read again';
   test(`a key answered by two routers during an outage is billed once, ${when}`, async () => {
     await withRouters(2, 10_000, async (world, routers) => {
       const reserved: Reservation[] = [];
--- a/test/money/unbilledClaims.test.ts
+++ b/test/money/unbilledClaims.test.ts
@@ -9,14 +9,14 @@
 const KEY = 'key';
 const BODY = 'body';
 
-/** Backend servers that refuse a request when the test says so. */
+/** Backend servers that refuse a request once the test calls `refuse`. */
 class RefusingBackends extends Backends {
   override readonly dependsOn = [];
   #refuse: () => void = () => undefined;
   readonly #refused = new Promise<void>((resolve) => (this.#refuse = resolve));
 
   override start(): void {
-    // nothing runs
+    // No background work.
   }
   override stop(): void {
     this.refuse();
@@ -33,7 +33,7 @@
   }
 }
 
-/** A request that may be repeated, under the caller's key. */
+/** Creates an idempotent request with an idempotency key. */
 function keyedRequest(): Parameters<RequestRunner['handle']>[0] {
   return {
     type: 'chat',
@@ -71,7 +71,7 @@
   };
 }
 
-/** Gives a router a request path. */
+/** Registers a request runner at a router. */
 function addRunner(router: TestRouter, backends: Backends): RequestRunner {
   const tickets = new HmacTicketCodec('a secret of the tests');
   const runner = new RequestRunner(router.context, tickets);
@@ -92,7 +92,7 @@
   return reserved.unwrapOrElse((refusal) => assert.fail(refusal.reason));
 }
 
-/** Answers the request under the same key while it cannot be claimed. */
+/** Bills a request with the same key while the platform is out and the key cannot be claimed. */
 async function billProvisionally(
   world: MoneyWorld,
   router: TestRouter,
@@ -106,13 +106,14 @@
   assert.ok((await router.money.bill(reservation, ticket, unclaimed)).isOk);
 }
 
-describe('an answered request is billed once claims can be read again', () => {
-  // guards against a bill that waits for the end of a router which claimed its key for a request it refused.
+describe('a provisionally billed request is billed once claims can be read again', () => {
+  // Guards against a provisional bill that waits until another router ends, because that router
+  // claimed the key for a request that it then refused.
   const cases = [
-    { name: 'refused by the owner of its key', cut: false },
-    { name: 'refused by the owner of its key during a cut', cut: true },
+    { name: 'refused by the owner of its key', isIsolated: false },
+    { name: 'refused by the owner of its key during a partition', isIsolated: true },
   ];
-  for (const { name, cut } of cases) {
+  for (const { name, isIsolated } of cases) {
     test(name, async () => {
       const world = new MoneyWorld(10_000);
       const [owner, other] = [world.add('router-1'), world.add('router-2')];
@@ -125,7 +126,7 @@
         assert.ok(handling.type === 'answer');
         await until(() => world.claim(KEY) !== undefined);
         const reservation = await reserve(other);
-        owner.isolated = cut;
+        owner.isolated = isIsolated;
         backends.refuse();
         await until(() => handling.execution.answer.end !== undefined);
         await billProvisionally(world, other, reservation);
