--- a/packages/router/src/node/money/groupWriter.ts
+++ b/packages/router/src/node/money/groupWriter.ts
@@ -116,7 +116,8 @@
     if (read.error.code !== 'not-found') return this.#unreachable();
     const created = await store.create(collection, name, this.#options.initial());
     if (created.isOk) return Result.ok(this.#accept(created.value));
-    // another router was first, or the reply was lost: either way it may exist now.
+    // Another router may have created the object, or the reply was lost. In both cases it may exist
+    // now.
     const again = await store.get(collection, name);
     return again.isOk ? Result.ok(this.#accept(again.value)) : this.#unreachable();
   }
--- a/packages/router/src/node/money/lineLog.ts
+++ b/packages/router/src/node/money/lineLog.ts
@@ -17,7 +17,7 @@
 /** Delay before the journal or the witnesses are tried again, in milliseconds. */
 const RETRY_MS = 100;
 
-/** What a line log is created with. */
+/** Options of {@link LineLog}. */
 export interface LineLogOptions {
   spender: Spender;
   transport: LineTransport;
@@ -37,7 +37,9 @@
   settle: (result: Result<'kept', AppendFault>) => void;
 }
 
-/** Line log of one holder. */
+/**
+ * Line log of one holder. Two loops send the lines, one to the journal and one to the witnesses.
+ */
 export class LineLog {
   readonly #options: LineLogOptions;
   readonly #toJournal = new Channel<true>(1, 'drop-newest');
--- a/packages/router/src/node/money/moneyService.ts
+++ b/packages/router/src/node/money/moneyService.ts
@@ -206,8 +206,8 @@
     }
     const result = await session.record([{ type: 'intent', ticket: ticket.number }]);
     if (result.isOk) return Result.ok('kept');
-    // The intent may still get stored, although the request is not sent. The journal must record
-    // that.
+    // The intent may still get stored. The request is not sent, so the journal must record that it
+    // did not run.
     this.recordNotRun(ticket);
     return Result.err(refuseUnreachable());
   }
--- a/packages/router/src/node/money/ownEndings.ts
+++ b/packages/router/src/node/money/ownEndings.ts
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Tries to finish each sealing. Repeats it at the next tick unless the journal wrote or refused
-   * it.
+   * Tries to finish each sealing. Tries again at the next tick unless the journal accepted or
+   * refused the write.
    */
   async tick(writer: JournalWriter): Promise<void> {
     for (const seal of [...this.#unfinished]) {
--- a/packages/router/src/node/money/treasurer.ts
+++ b/packages/router/src/node/money/treasurer.ts
@@ -48,7 +48,10 @@
 /** Pause of own refills, in milliseconds, after tokens were returned for another data centre. */
 const REFILL_PAUSE_MS = 1_000;
 
-/** Time for which a pool must exceed its target before its surplus is returned, in milliseconds. */
+/**
+ * Time for which a pool must exceed `RETURN_FACTOR` times its target before its surplus is
+ * returned, in milliseconds.
+ */
 const SURPLUS_MS = 2_000;
 
 /** Multiple of the sync interval at which routers read the pages that they do not sync. */
@@ -299,7 +302,7 @@
   }
 
   #isDue(page: number, now: EpochMs): boolean {
-    // Pages that are only read are read less often, because all routers read them and load the
+    // Pages that are only read are read less often, because the reads of all routers add up at the
     // platform.
     const factor = this.#ownsPage(page) ? 1 : READ_INTERVAL_FACTOR;
     const age = now - (this.#syncedAt.get(page) ?? -Infinity);
--- a/test/money/budgetOracle.test.ts
+++ b/test/money/budgetOracle.test.ts
@@ -13,7 +13,11 @@
 const refused = 'budget-exhausted';
 
 const cases = [
-  { name: 'too few tokens are left', records: [record(0, 'served'), record(50, refused)], naive: 0 },
+  {
+    name: 'too few tokens are left',
+    records: [record(0, 'served'), record(50, refused)],
+    naive: 0,
+  },
   {
     name: 'unused tokens were released before',
     records: [record(0, 'served'), record(100, refused)],
