--- a/packages/router/src/node/money/moneyParts.ts
+++ b/packages/router/src/node/money/moneyParts.ts
@@ -142,10 +142,10 @@
   account: AccountId,
   amount: Tokens,
 ): Promise<void> {
-  const asked = fleet
+  const recalls = fleet
     .localPeers()
     .map(({ info }) => peers.recall(info.incarnation, account, amount, fleet.self.dataCentre));
-  await Promise.all(asked);
+  await Promise.all(recalls);
 }
 
 function describeOverspend(account: AccountId | undefined): string | undefined {
--- a/packages/router/src/node/money/ownEndings.ts
+++ b/packages/router/src/node/money/ownEndings.ts
@@ -1,10 +1,11 @@
 /**
  * Finishes the sealing of this process's own former incarnations.
  *
- * Peers can take a running router for failed and start to seal it, and a witness of it can fail
- * before the sealer reaches that witness. The sealing could then never finish, and bills that only
- * the router and the witness have would stay in doubt forever. The process itself has all lines of
- * the former incarnation and writes no more of them, so it needs no witness to finish the sealing.
+ * Peers can wrongly detect a running router as failed and start to seal it, and its witness can
+ * fail before the sealer reaches the witness. The sealing could then never finish, and bills that
+ * only the router and the witness have would stay in doubt forever. The process itself has all
+ * lines of the former incarnation and writes no more of them, so it needs no witness to finish the
+ * sealing.
  */
 
 import type { IncarnationId, JournalLine } from '@flamingocourse/core';
--- a/packages/router/src/node/money/provisionalSettler.ts
+++ b/packages/router/src/node/money/provisionalSettler.ts
@@ -48,7 +48,7 @@
 /** Settles the provisional bills in the journal of one data centre. */
 export class ProvisionalSettler {
   readonly #options: ProvisionalSettlerOptions;
-  #lastAt: EpochMs = -Infinity;
+  #lastRoundAt: EpochMs = -Infinity;
   /** Reason that was last logged for each bill that waits. */
   readonly #loggedReasons = new Map<string, string>();
 
@@ -59,8 +59,8 @@
   /** Settles the bills that can be settled now. */
   async tick(now: EpochMs): Promise<void> {
     const { fleet, writer } = this.#options;
-    if (now - this.#lastAt < SETTLE_INTERVAL_MS) return;
-    this.#lastAt = now;
+    if (now - this.#lastRoundAt < SETTLE_INTERVAL_MS) return;
+    this.#lastRoundAt = now;
     if (fleet.localOwner(SETTLER_KEY).incarnation !== fleet.self.incarnation) return;
     const waiting = (writer.latest?.state.provisional ?? []).slice(0, MAX_PER_ROUND);
     const names = new Set(waiting.map(billName));
--- a/packages/router/src/node/money/treasurer.ts
+++ b/packages/router/src/node/money/treasurer.ts
@@ -264,10 +264,10 @@
       // and forth and refuse requests in the meantime.
       if (ungranted(entry) >= shortfall) continue;
       this.#recalledAt.set(account, clock.now());
-      const asked = this.#peersHolding(entry).map((peer) =>
+      const recalls = this.#peersHolding(entry).map((peer) =>
         peers.recall(peer, account, shortfall, fleet.self.dataCentre),
       );
-      for (const answer of await Promise.all(asked)) recalled += answer.unwrapOr(0);
+      for (const answer of await Promise.all(recalls)) recalled += answer.unwrapOr(0);
     }
     return recalled;
   }
@@ -276,15 +276,15 @@
   #peersHolding(entry: LedgerAccount): string[] {
     const { fleet } = this.#options;
     const chosen: string[] = [];
-    const asked = new Map<string, number>();
+    const chosenPerDataCentre = new Map<string, number>();
     for (const { info, health } of fleet.peers()) {
       const share = entry.shares[info.dataCentre];
       const held = share ? share.grantedIn - share.returnedOut - share.spent : 0;
       const isOther = info.dataCentre !== fleet.self.dataCentre;
-      const count = asked.get(info.dataCentre) ?? 0;
+      const count = chosenPerDataCentre.get(info.dataCentre) ?? 0;
       if (!isOther || held <= 0 || health !== 'alive' || count >= MAX_RECALLS_PER_DATA_CENTRE)
         continue;
-      asked.set(info.dataCentre, count + 1);
+      chosenPerDataCentre.set(info.dataCentre, count + 1);
       chosen.push(info.incarnation);
     }
     return chosen;
--- a/packages/router/src/types/money.ts
+++ b/packages/router/src/types/money.ts
@@ -40,11 +40,17 @@
 
 /** Result of looking up a ticket that another incarnation issued. */
 export type TicketResolution =
+  /** The issuer is alive and can be asked at this URL. */
   | { type: 'elsewhere'; entryUrl: string }
+  /** The answer is stored. */
   | { type: 'answered'; outcome: Outcome }
+  /** The request was billed, but its answer is not stored. */
   | { type: 'billed' }
+  /** An intent is recorded, so the request may have run. */
   | { type: 'started' }
+  /** The request was certainly not billed and cannot be any more. */
   | { type: 'not-run' }
+  /** The outcome cannot be known now. */
   | { type: 'unknown' };
 
 /**
@@ -78,14 +84,15 @@
 
   /**
    * Reserves the most that a request can cost, before anything is sent to a backend server. Waits
-   * for tokens when too few are free, at most for the setting `reserveWaitMs`.
+   * for tokens when too few are free, for at most the setting `reserveWaitMs` and not after the
+   * deadline of the request.
    */
   abstract reserve(request: ReservationRequest): Promise<Result<Reservation, Refusal>>;
 
   /**
    * Bills the actual use, at most the reserved amount, under a ticket and releases the rest of the
    * reservation. Resolves once the bill is kept. The final event may be sent to the caller only
-   * after that.
+   * after that. The refusal `outcome-unknown` means that the bill may or may not be kept.
    */
   abstract bill(
     reservation: Reservation,
--- a/test/money/journal.test.ts
+++ b/test/money/journal.test.ts
@@ -174,7 +174,7 @@
   assert.equal(rollSegment(rolled, segment), rolled);
 });
 
-test('sealed holders are pruned, except those whose bills are still in the journal', () => {
+test('ended holders are pruned, except those with a negative slice', () => {
   let state = journalWith('a', 'b');
   state = apply(state, linesOf('a', { type: 'bill', bill: billOf('a', 1, 5) }));
   for (const holder of ['a', 'b']) {
--- a/test/money/moneyProperties.test.ts
+++ b/test/money/moneyProperties.test.ts
@@ -138,14 +138,14 @@
     const kept = keepLines(this.witness, spender.unapplied, this.#witnessView);
     if (kept.isErr) return false;
     this.witness = kept.value;
-    this.#show(spender.unapplied);
+    this.#markSeen(spender.unapplied);
     return true;
   }
 
   #read(spender: Spender): void {
     const before = [...spender.unapplied];
     spender.sync(this.journal);
-    this.#show(before.filter((line) => line.seq <= spender.appliedSeq));
+    this.#markSeen(before.filter((line) => line.seq <= spender.appliedSeq));
     this.#witnessView = this.journal;
     this.witness = dropApplied(this.witness, this.journal);
   }
@@ -165,7 +165,7 @@
     this.journal = sealed.unwrapOrElse((fault) => assert.fail(fault.message));
   }
 
-  #show(lines: readonly JournalLine[]): void {
+  #markSeen(lines: readonly JournalLine[]): void {
     for (const { change } of lines) {
       if (change.type === 'bill') this.seen.add(`${change.bill.holder}/${change.bill.ticket}`);
     }
--- a/test/money/moneyService.test.ts
+++ b/test/money/moneyService.test.ts
@@ -98,8 +98,8 @@
   // peer stores the line, and both the holder and the peer replay it afterwards.
   await withRouters(2, 10_000, async (world, routers) => {
     const router = routers[1] ?? assert.fail();
-    const named = (): string[] => world.journal().holders[router.incarnation]?.witnesses ?? [];
-    await until(() => named().length === 1);
+    const witnesses = (): string[] => world.journal().holders[router.incarnation]?.witnesses ?? [];
+    await until(() => witnesses().length === 1);
     const reservation = await reserve(router, 200);
     world.store.fault = 'out';
     const billed = await router.money.bill(reservation, router.money.nextTicket(), details);
@@ -112,14 +112,14 @@
 });
 
 /** Steps of one request. Router A is isolated after the named step, and router B seals it. */
-const freezes = [
+const isolations = [
   { after: 'reserve', platform: 'none', billed: 0, found: 'not-run' },
   { after: 'intent', platform: 'none', billed: 0, found: 'started' },
   { after: 'bill', platform: 'none', billed: 80, found: 'billed' },
   { after: 'bill', platform: 'out', billed: 80, found: 'billed' },
 ] as const;
 
-for (const { after, platform, billed, found } of freezes) {
+for (const { after, platform, billed, found } of isolations) {
   test(`A is isolated after ${after} (store fault: ${platform}), and B seals it: ${found}`, async () => {
     // Guards against a request that runs twice and against lost tokens of a failed router. A is
     // isolated, B seals it and resolves the ticket. Then A reconnects and bills an in-flight
