--- a/packages/router/src/types/money.ts
+++ b/packages/router/src/types/money.ts
@@ -68,7 +68,7 @@
  * Budget, bills, tickets and claims of this router. Registered with the kernel as `money`.
  *
  * A bill, an intent or another journal line is `kept` once it is in the journal of the data centre
- * or in the memory of a witness, which is a peer that stores the lines during an outage.
+ * or in the memory of a witness, a peer that stores lines while the journal is slow or unreachable.
  */
 export abstract class Money extends Service {
   override readonly name = 'money';
@@ -110,7 +110,7 @@
    */
   abstract recordIntent(ticket: TicketId): Promise<Result<'kept', Refusal>>;
 
-  /** Records that a request with a recorded intent was certainly not sent. */
+  /** Records that a request with a recorded intent certainly did not run. */
   abstract recordNotRun(ticket: TicketId): void;
 
   /**
