--- a/packages/router/src/node/money/moneyRefusals.ts
+++ b/packages/router/src/node/money/moneyRefusals.ts
@@ -1,24 +1,26 @@
-/** Refusals of the budget services, as sentences for callers. */
+/** Refusals by the budget services, with messages for callers. */
 
 import type { Refusal, Shortage } from '@flamingocourse/core';
 
-/** When tokens may have been handed back or topped up, in milliseconds. */
+/** Retry hint in milliseconds: by then tokens may have been returned or topped up. */
 const RETRY_BUDGET_MS = 5_000;
 
-/** When another router, a new incarnation or the platform may answer, in milliseconds. */
+/**
+ * Retry hint in milliseconds: by then another router, a new incarnation or the platform may answer.
+ */
 const RETRY_SOON_MS = 1_000;
 
-/** The router cannot spend yet, or not any more. */
+/** Refusal while this incarnation is not registered yet, or after it was sealed. */
 export function refuseNotReady(): Refusal {
   return {
     reason: 'not-ready',
     run: 'not-run',
-    detail: 'This router holds no rights to budgets at the moment; try again.',
+    detail: 'This router cannot spend from budgets at the moment; try again.',
     retryAfterMs: RETRY_SOON_MS,
   };
 }
 
-/** Nothing that is recorded now would be kept. */
+/** Refusal while neither the journal nor a witness can store lines. */
 export function refuseUnreachable(): Refusal {
   return {
     reason: 'budget-unreachable',
@@ -28,7 +30,7 @@
   };
 }
 
-/** It cannot be known here whether the request is billed. */
+/** Refusal when this router cannot know whether the request was billed. */
 export function refuseUnknownOutcome(): Refusal {
   return {
     reason: 'outcome-unknown',
@@ -38,13 +40,14 @@
   };
 }
 
-/** No tokens could be set aside. */
+/** Refusal when no tokens could be reserved. */
 export function refuseShortage(shortage: Shortage, isPlatformUp: boolean): Refusal {
   if (shortage === 'class-share') {
     return {
       reason: 'class-share-exhausted',
       run: 'not-run',
-      detail: 'The class of work has drawn its share of the budget; raise the share or top up.',
+      detail:
+        'The work class has used up its share of the budget; raise the share or top up the budget.',
       retryAfterMs: RETRY_BUDGET_MS,
     };
   }
