--- a/packages/core/src/runtime/routing/attemptPlan.ts
+++ b/packages/core/src/runtime/routing/attemptPlan.ts
@@ -1,32 +1,35 @@
-/** How often a request may be sent, and whether it may be sent again after a failure. */
+/** Plans the attempts of a request and decides whether a failed attempt is retried. */
 
 import type { EpochMs } from '../../types/ids.js';
 import type { RefusalReason, RunVerdict } from '../../types/refusal.js';
 
-/** What decides about attempts. */
+/** Properties of a request that determine its attempts. */
 export interface AttemptPlanRequest {
   idempotent: boolean;
   deadline: EpochMs;
-  /** Attempts of one idempotent request, the first included. */
+  /** Maximum attempts of an idempotent request, including the first. */
   maxAttempts: number;
-  /** Expected time of one attempt in milliseconds. @default 0 */
+  /** Expected duration of one attempt, in milliseconds. @default 0 */
   typicalMs?: number;
 }
 
-/** How often a request may be sent. */
+/** Number of attempts of a request and the timeout of each. */
 export interface AttemptPlan {
   attempts: number;
-  /** Time given to each attempt before the next one, in milliseconds; the last may use the rest. */
+  /**
+   * Timeout of each attempt, in milliseconds; the last attempt may use all the time that is left.
+   */
   attemptTimeoutMs: number;
 }
 
-/** Failure of one attempt. */
+/** State of a request after a failed attempt. */
 export interface AttemptFailure {
-  /** Attempts made so far, the failed one included. */
+  /** Attempts made so far, including the failed one. */
   made: number;
   /**
-   * Whether provably no attempt so far ran: each time the connection was refused, or the server
-   * answered that it leaves. A connection that broke after the first byte was sent proves nothing.
+   * Whether no attempt so far can have run: each time the connection was refused, or the server
+   * answered that it is leaving. A connection that failed after the first byte was sent does not
+   * show this.
    */
   provablyNotRun: boolean;
 }
@@ -35,14 +38,14 @@
 export type RetryDecision =
   { type: 'retry' } | { type: 'refuse'; reason: RefusalReason; run: RunVerdict };
 
-/** Times the typical duration that an attempt gets before it is given up. */
-const PATIENCE = 3;
+/** Minimum timeout of an attempt, as a multiple of its typical duration. */
+const TIMEOUT_FACTOR = 3;
 const MIN_ATTEMPT_MS = 50;
-/** Placements of a non-idempotent request that no server accepted. */
-const MAX_UNSENT_TRIES = 3;
+/** Maximum attempts of a non-idempotent request that no server has accepted. */
+const MAX_UNACCEPTED_ATTEMPTS = 3;
 
 /**
- * Plans the attempts of a request. A non-idempotent one has a single attempt with all the time.
+ * Plans the attempts of a request. A non-idempotent request gets one attempt with all the time left.
  *
  * @example
  * const plan = resolveAttemptPlan({ idempotent: true, deadline, maxAttempts: 3 }, now);
@@ -53,16 +56,16 @@
   const typical = Math.max(request.typicalMs ?? 0, MIN_ATTEMPT_MS);
   const fitting = Math.max(1, Math.floor(remaining / typical));
   const attempts = Math.min(request.maxAttempts, fitting);
-  const patient = Math.max(remaining / attempts, Math.min(remaining, PATIENCE * typical));
+  const patient = Math.max(remaining / attempts, Math.min(remaining, TIMEOUT_FACTOR * typical));
   return { attempts, attemptTimeoutMs: Math.floor(patient) };
 }
 
 /**
- * Decides whether a failed attempt is followed by another.
+ * Decides whether a failed attempt is retried.
  *
- * A non-idempotent request whose connection broke may have run: sending it again could reserve
- * twice, and calling it `not-run` could be a lie. Only where the server provably did not run it, it
- * goes to another server, and the refusal may say so.
+ * A non-idempotent request whose connection failed may have run: sending it again could execute it
+ * twice (for example, reserve twice), and reporting it as `not-run` could be wrong. It is sent to
+ * another server, and refused as `not-run`, only if it is certain that no server ran it.
  *
  * @example
  * decideRetry({ idempotent: false, plan, deadline }, { made: 1, provablyNotRun: false }, now);
@@ -76,7 +79,7 @@
   if (!request.idempotent && !failure.provablyNotRun) {
     return { type: 'refuse', reason: 'outcome-unknown', run };
   }
-  const most = request.idempotent ? request.plan.attempts : MAX_UNSENT_TRIES;
+  const most = request.idempotent ? request.plan.attempts : MAX_UNACCEPTED_ATTEMPTS;
   if (now >= request.deadline) return { type: 'refuse', reason: 'deadline-passed', run };
   if (failure.made >= most) return { type: 'refuse', reason: 'backend-failed', run };
   return { type: 'retry' };
--- a/packages/core/src/runtime/routing/concurrencyLimit.ts
+++ b/packages/core/src/runtime/routing/concurrencyLimit.ts
@@ -1,18 +1,18 @@
-/** How many requests one backend server takes at once, adapted to the targets of its classes. */
+/** Concurrency limit of the backend servers, adapted to the latency targets of the classes. */
 
 import type { EpochMs } from '../../types/ids.js';
 
-/** Names of the kinds of limit. */
+/** Kind of a limit; `aimd` is additive increase, multiplicative decrease. */
 export type ConcurrencyLimitKind = 'fixed' | 'aimd';
 
-/** Bounds of a limit; the upper one is declared by the operators. */
+/** Bounds of a limit; operators declare the maximum. */
 export interface ConcurrencyBounds {
   max: number;
   /** @default 1 */
   min?: number;
 }
 
-/** Limit that holds for each server of a pool. */
+/** Concurrency limit that applies to each server of a pool. */
 export abstract class ConcurrencyLimit {
   abstract readonly kind: ConcurrencyLimitKind;
   protected readonly max: number;
@@ -24,11 +24,11 @@
   }
 
   abstract get value(): number;
-  /** Takes in one answer: its first-token time (`Infinity` if it timed out) and its target. */
+  /** Records one answer: its time to first token (`Infinity` after a timeout) and its target. */
   abstract sample(firstTokenMs: number, targetMs: number, now: EpochMs): void;
 }
 
-/** The declared limit, unchanged: the baseline. */
+/** Always the declared limit; the baseline for comparisons. */
 export class FixedLimit extends ConcurrencyLimit {
   override readonly kind = 'fixed';
 
@@ -37,20 +37,21 @@
   }
 
   override sample(): void {
-    // the declared limit stands whatever is measured
+    // the declared limit does not depend on measurements
   }
 }
 
-/** Answers over which one decision is made. */
+/** Number of answers per decision. */
 const WINDOW_SAMPLES = 20;
 /**
- * Share of answers in a window that may miss their target. Far above the 5 in 100 that targets allow:
- * at full load many misses come from waiting, which a lower limit makes worse.
+ * Fraction of the answers in a window that may miss their target. It is far above the 5 in 100 that
+ * targets allow: at full load many misses are caused by queueing, and a lower limit lengthens the
+ * queue.
  */
 const ALLOWED_MISSES = 0.3;
 const DECREASE_FACTOR = 0.7;
 
-/** Adds one after a window that met the targets, multiplies down after one that missed them. */
+/** Adds one after a window that met the targets; multiplies by a factor below 1 after a miss. */
 export class AimdLimit extends ConcurrencyLimit {
   override readonly kind = 'aimd';
   #limit: number;
--- a/packages/core/src/runtime/routing/keptServers.ts
+++ b/packages/core/src/runtime/routing/keptServers.ts
@@ -1,41 +1,42 @@
 /**
- * Servers that are used although their entry is missing. While the store is away the entries of servers
- * that live lapse, because they can't be renewed; a server that left is missing in the same way. The list
- * can't tell the two apart, but the server itself can, so each kept server is asked.
+ * Servers that are still used although their entry has expired. While the store is unavailable, the
+ * entries of running servers expire because they cannot be renewed. The entry of a stopped server is
+ * missing in the same way. The list cannot distinguish the two cases, but the server itself can, so
+ * each kept server is probed.
  */
 
 import type { EpochMs, ServerId } from '../../types/ids.js';
 
-/** What a server says of itself when it is asked. */
+/** Result of probing a server. */
 export type ServerWord =
   | 'staying'
   | 'leaving'
-  /** Nobody listens at its address, or another server does. */
+  /** Nothing listens at its address, or another server does. */
   | 'gone'
-  /** No answer, or one that does not tell: a busy server is slow to answer, or turns the question away. */
+  /** No answer, or an inconclusive one: a busy server answers slowly or rejects the probe. */
   | 'unknown';
 
-/** Milliseconds between two questions; a server that leaves meanwhile goes on serving for longer. */
-const ASK_AGAIN_MS = 500;
+/** Milliseconds between two probes; a leaving server continues to serve for longer than this. */
+const PROBE_INTERVAL_MS = 500;
 
-/** One server. */
+/** State of one kept server. */
 interface KeptServer {
   since: EpochMs;
-  /** When it is taken as gone, whatever it says. */
+  /** When it is considered gone, regardless of its answers. */
   until: EpochMs;
-  /** When it is asked next; infinite while it is being asked. */
-  askAt: EpochMs;
+  /** When it is probed next; infinite during a probe. */
+  probeAt: EpochMs;
   lastWord: ServerWord;
 }
 
-/** How the keeping of a server went, for the log. */
+/** Summary of the time for which a server was kept, for the log. */
 export interface KeptSummary {
   keptMs: number;
   lastWord: ServerWord;
 }
 
 /**
- * Decides how long servers without an entry are used, and when they are asked.
+ * Decides how long servers without an entry are used, and when they are probed.
  *
  * @example
  * kept.keep('p1', now + 2_200, now);
@@ -48,9 +49,11 @@
     return this.#servers.size;
   }
 
-  /** When something is due next; infinite when nothing is. */
+  /** Time of the next probe or expiry; infinite if no server is kept. */
   get nextAt(): EpochMs {
-    const times = [...this.#servers.values()].map(({ until, askAt }) => Math.min(until, askAt));
+    const times = [...this.#servers.values()].map(({ until, probeAt: askAt }) =>
+      Math.min(until, askAt),
+    );
     return Math.min(...times);
   }
 
@@ -58,38 +61,38 @@
     return this.#servers.has(id);
   }
 
-  /** Keeps a server up to a time. Returns whether it was not kept before. */
+  /** Keeps a server until the given time. Returns whether it was not kept before. */
   keep(id: ServerId, until: EpochMs, now: EpochMs): boolean {
     const known = this.#servers.get(id);
     if (known) known.until = Math.max(known.until, until);
-    else this.#servers.set(id, { since: now, until, askAt: now, lastWord: 'unknown' });
+    else this.#servers.set(id, { since: now, until, probeAt: now, lastWord: 'unknown' });
     return known === undefined;
   }
 
-  /** Ends the keeping of a server; undefined if it was not kept. */
+  /** Stops keeping a server; undefined if it was not kept. */
   end(id: ServerId, now: EpochMs): KeptSummary | undefined {
     const known = this.#servers.get(id);
     this.#servers.delete(id);
     return known && { keptMs: now - known.since, lastWord: known.lastWord };
   }
 
-  /** Servers that are to be asked now; each of them is not told again before its answer. */
+  /** Takes the servers to probe now; none of them is returned again before its probe has ended. */
   takeToAsk(now: EpochMs): ServerId[] {
-    const due = [...this.#servers].filter(([, { askAt }]) => askAt <= now);
-    for (const [, server] of due) server.askAt = Infinity;
+    const due = [...this.#servers].filter(([, { probeAt: askAt }]) => askAt <= now);
+    for (const [, server] of due) server.probeAt = Infinity;
     return due.map(([id]) => id);
   }
 
-  /** Takes in a server's word. Returns whether it is still kept. */
+  /** Records the result of a probe. Returns whether the server remains kept. */
   hear(id: ServerId, word: ServerWord, now: EpochMs): boolean {
     const known = this.#servers.get(id);
     if (!known) return false;
     known.lastWord = word;
-    known.askAt = now + ASK_AGAIN_MS;
+    known.probeAt = now + PROBE_INTERVAL_MS;
     return word !== 'leaving' && word !== 'gone';
   }
 
-  /** Servers whose time is over. */
+  /** Servers that were kept for the maximum time. */
   over(now: EpochMs): ServerId[] {
     return [...this.#servers].filter(([, { until }]) => until <= now).map(([id]) => id);
   }
--- a/packages/core/src/runtime/routing/loadEstimate.ts
+++ b/packages/core/src/runtime/routing/loadEstimate.ts
@@ -1,4 +1,4 @@
-/** Present load of one backend server, from lagging reports and the router's own dispatches. */
+/** Estimates the load of one backend server from delayed reports and the router's own attempts. */
 
 import type { EpochMs } from '../../types/ids.js';
 
@@ -6,7 +6,7 @@
 export interface LoadReport {
   running: number;
   waiting: number;
-  /** When the report was taken, by the server's clock. */
+  /** When the load was measured, by the server's clock. */
   at: EpochMs;
 }
 
@@ -15,15 +15,15 @@
   endedAt: EpochMs;
 }
 
-/** Own attempts kept after their end, to be subtracted from reports that still show them. */
+/** Maximum number of ended attempts kept, to subtract them from reports that include them. */
 const MAX_ENDED = 512;
-/** A report older than this says nothing any more, in milliseconds. */
+/** Age after which a report is ignored, in milliseconds. */
 const REPORT_STALE_MS = 10_000;
 
 /**
- * Estimates load as: work of others at the time of the last report, plus own attempts in flight
- * now. A report lags; taken as it is, every router would send its next requests to the server that
- * was idle a second ago.
+ * Estimates the load as the requests of other routers at the time of the last report, plus the own
+ * attempts in flight now. Reports are delayed: without this correction, every router would send its
+ * next requests to the server that was idle a second ago.
  *
  * @example
  * const load = new LoadEstimate();
@@ -37,12 +37,12 @@
   #others = 0;
   #reportAt: EpochMs | undefined;
 
-  /** Attempts of this router in flight. */
+  /** Number of attempts of this router in flight. */
   get own(): number {
     return this.#inFlight.size;
   }
 
-  /** Start of the oldest own attempt in flight. */
+  /** Start time of the oldest own attempt in flight. */
   oldestStart(): EpochMs | undefined {
     let oldest: EpochMs | undefined;
     for (const startedAt of this.#inFlight.values()) {
@@ -55,7 +55,7 @@
     this.#inFlight.set(attempt, now);
   }
 
-  /** Ends an attempt; false if it had ended already. */
+  /** Ends an attempt; returns false if it had already ended. */
   end(attempt: number, now: EpochMs): boolean {
     const startedAt = this.#inFlight.get(attempt);
     if (startedAt === undefined) return false;
@@ -65,9 +65,9 @@
     return true;
   }
 
-  /** Takes in a report; one older than the last is ignored. */
+  /** Applies a report; a report older than the previous one is ignored. */
   report(report: LoadReport, now: EpochMs): void {
-    // clocks differ between instances: a report can't be from the future, nor older than the limit.
+    // clocks of instances differ, so the time is clamped: not in the future, not older than the limit.
     const at = Math.max(Math.min(report.at, now), now - REPORT_STALE_MS);
     if (this.#reportAt !== undefined && at < this.#reportAt) return;
     this.#reportAt = at;
@@ -75,7 +75,7 @@
     this.#ended = this.#ended.filter((interval) => interval.endedAt > at);
   }
 
-  /** Work of other routers as of the last report. */
+  /** Requests of other routers at the time of the last report. */
   others(now: EpochMs): number {
     const fresh = this.#reportAt !== undefined && now - this.#reportAt <= REPORT_STALE_MS;
     return fresh ? this.#others : 0;
--- a/packages/core/src/runtime/routing/promptLength.ts
+++ b/packages/core/src/runtime/routing/promptLength.ts
@@ -1,13 +1,13 @@
-/** Which prompts are long for an engine. */
+/** Decides which prompts are long for an inference engine. */
 
 import type { Tokens } from '../../types/ids.js';
 
 /**
- * Prompts from this length on delay the other streams of an engine. An engine reads a prompt in parts, on
- * common engines of 2,048 tokens, and each of its streams waits for one part per token; an event of
- * three tokens so waits for three parts, which a shorter prompt does not have.
+ * Length from which a prompt delays the other streams of an engine. An engine processes a prompt in
+ * chunks (2,048 tokens on common engines) and generates one token of each stream after each chunk.
+ * An event of three tokens is thus delayed by up to three chunks; a shorter prompt has fewer.
  */
-const LONG_PROMPT: Tokens = 4_000;
+const LONG_PROMPT_TOKENS: Tokens = 4_000;
 
 /**
  * Whether a request has a long prompt.
@@ -16,5 +16,5 @@
  * isLongPrompt({ promptTokens: 9_000 }); // true
  */
 export function isLongPrompt({ promptTokens = 0 }: { promptTokens?: Tokens }): boolean {
-  return promptTokens >= LONG_PROMPT;
+  return promptTokens >= LONG_PROMPT_TOKENS;
 }
--- a/packages/core/src/runtime/routing/quickEngineChooser.ts
+++ b/packages/core/src/runtime/routing/quickEngineChooser.ts
@@ -5,17 +5,18 @@
 import { isLongPrompt } from './promptLength.js';
 import { ServerChooser } from './serverChooser.js';
 
-/** Time for an event, as a multiple of the quickest engine's, above which an engine is slow. */
+/** An engine is slow if its time per event exceeds that of the fastest engine by this factor. */
 const SLOW_FACTOR = 1.15;
-/** Part of the engines that must remain; with fewer, long prompts would queue behind each other. */
-const LEAST_REMAINING = 0.5;
+/** Minimum fraction of engines to choose from; with fewer, long prompts would queue up. */
+const MIN_REMAINING_FRACTION = 0.5;
 
 /**
- * Lets another chooser pick, for a long prompt among the quick engines only.
+ * Wraps another chooser and offers it only the fast engines for a long prompt.
  *
- * What it buys: three parts of a long prompt take 210 ms and more at a quick engine, and at one that is
- * slower by 30 % more than the 300 ms for which a stream may pause. With a third of the engines so slow,
- * late streams fell by a quarter (20 days played: 3,984 to 3,019 of 23,000 notes), which is 2.6 % of the credit that callers could earn.
+ * Reason: three chunks of a long prompt take at least 210 ms on a fast engine. On an engine that is
+ * 30 % slower they take more than 300 ms, the longest pause that a stream may have. In a simulation
+ * of 20 days with a third of the engines that slow, the number of late streams fell by a quarter
+ * (from 3,984 to 3,019 of 23,000), which is 2.6 % of the credit that callers could earn.
  */
 export class QuickEngineChooser extends ServerChooser {
   override readonly name: ServerChooser['name'];
@@ -33,20 +34,22 @@
     random: RandomSource,
   ): Candidate {
     return this.#inner.pick(
-      isLongPrompt(request) ? quickOf(candidates) : candidates,
+      isLongPrompt(request) ? excludeSlowEngines(candidates) : candidates,
       request,
       random,
     );
   }
 }
 
-/** The engines that are not known as slow, or all where too few would remain. */
-function quickOf(
+/** The engines that are not known to be slow, or all engines if too few would remain. */
+function excludeSlowEngines(
   candidates: readonly [Candidate, ...Candidate[]],
 ): readonly [Candidate, ...Candidate[]] {
   const quickest = Math.min(...candidates.map(({ eventMs }) => eventMs ?? Infinity));
   const isSlow = ({ eventMs = 0 }: Candidate): boolean => eventMs > SLOW_FACTOR * quickest;
   const [first, ...rest] = candidates.filter((candidate) => !isSlow(candidate));
   const remaining = first ? 1 + rest.length : 0;
-  return first && remaining >= LEAST_REMAINING * candidates.length ? [first, ...rest] : candidates;
+  return first && remaining >= MIN_REMAINING_FRACTION * candidates.length
+    ? [first, ...rest]
+    : candidates;
 }
--- a/packages/core/src/types/news.ts
+++ b/packages/core/src/types/news.ts
@@ -1,38 +1,38 @@
-/** What instances of a fleet tell each other. */
+/** Types of the gossip between the instances of a fleet. */
 
 import type { EpochMs, IncarnationId, ServerId } from './ids.js';
 import type { Fingerprint } from './quarantine.js';
 
-/** One piece of news. */
+/** A fact that instances pass on to each other. */
 export type FleetNews =
-  /** A server ended with these requests of one instance in flight. */
+  /** A server crashed while these requests of one instance were in flight. */
   | { type: 'crashed'; server: ServerId; inFlight: Fingerprint[] }
-  /** A request that had been in flight at a crash has finished. */
+  /** A request that was in flight during an earlier crash has finished. */
   | { type: 'finished'; fingerprint: Fingerprint };
 
-/** News as it goes from instance to instance; numbered by the instance that it comes from. */
+/** A fact as it is sent between instances, with a sequence number of its origin. */
 export interface NewsItem {
   origin: IncarnationId;
   seq: number;
-  /** Milliseconds since it happened: instances share no clock. */
+  /** Milliseconds since it happened; an age, because the clocks of instances differ. */
   ageMs: number;
   news: FleetNews;
 }
 
-/** Number of the last news that is known of each origin. */
+/** Version vector: the last known sequence number of each origin. */
 export type NewsVersions = Record<IncarnationId, number>;
 
-/** What one instance tells another, and gets as the answer. */
+/** Message of one gossip exchange; used for both the request and the answer. */
 export interface NewsMessage {
   /** Name of the sender. */
   from: string;
-  /** All that the sender has heard of. */
+  /** What the sender knows. */
   known: NewsVersions;
-  /** What the receiver may lack. */
+  /** Facts that the receiver may not know. */
   items: NewsItem[];
 }
 
-/** News with the time at which it happened, by the clock of this instance. */
+/** A fact with the time at which it happened, by the clock of this instance. */
 export interface DatedNews {
   at: EpochMs;
   news: FleetNews;
--- a/packages/core/src/types/placement.ts
+++ b/packages/core/src/types/placement.ts
@@ -1,4 +1,4 @@
-/** What the choice of a backend server is made from. */
+/** Types used when a backend server is chosen for a request. */
 
 import type { AttemptEnd } from '../runtime/routing/serverHealth.js';
 import type { ServerId } from './ids.js';
@@ -6,50 +6,50 @@
 /** Returns a number from 0 (included) to 1 (excluded); seeded in tests. */
 export type RandomSource = () => number;
 
-/** A backend server that may get a request. */
+/** A backend server that can receive a request. */
 export interface Candidate {
   id: ServerId;
   idHash: number;
   url: string;
-  /** Whether it stands in the router's own data centre. */
+  /** Whether it is in the router's own data centre. */
   local: boolean;
-  /** Estimated requests running and waiting there now. */
+  /** Estimated number of requests running and waiting there now. */
   load: number;
-  /** Requests that it takes at once. */
+  /** Maximum number of concurrent requests. */
   capacity: number;
-  /** Milliseconds that it takes for an event of a stream; undefined while not known. */
+  /** Milliseconds per stream event; undefined while unknown. */
   eventMs?: number | undefined;
   hasRoom: boolean;
   /**
-   * It takes few requests a second, one is due, and others got as many since its last one as if all
-   * shared alike.
+   * Whether it has a rate limit, may receive a request now, and the other servers have received at
+   * least their equal share of requests since its last one.
    */
   owed: boolean;
 }
 
-/** What a caller of the pool says about one attempt. */
+/** Result of one attempt, as a caller reports it to the pool. */
 export interface AttemptResult {
   end: AttemptEnd;
-  /** First token, or for plain services the whole answer, in milliseconds. */
+  /** Time to the first token, or to the whole answer for plain services, in milliseconds. */
   firstTokenMs?: number;
-  /** Target of the class, in milliseconds; adapts the concurrency limit. */
+  /** Latency target of the class, in milliseconds; used to adapt the concurrency limit. */
   targetMs?: number;
 }
 
-/** Restrictions on the servers that may be chosen. */
+/** Restrictions on the servers that can be chosen. */
 export interface CandidateQuery {
-  /** Servers that this request has tried already. */
+  /** Servers at which this request was already attempted. */
   tried?: ReadonlySet<ServerId>;
-  /** Whether the request has to run alone on its server (suspects of the quarantine). */
+  /** Whether the request must run alone on its server (quarantine suspects). */
   exclusive?: boolean;
-  /** Part of a server's places that may be used beyond its limit, from 0 to 1. @default 0 */
+  /** Fraction of a server's slots that may be used beyond its limit, from 0 to 1. @default 0 */
   extra?: number;
   /**
-   * `everywhere` lets the chooser see all data centres alike, so that requests with the same prefix
-   * meet at one server wherever they come in. @default 'near-first'
+   * `everywhere` gives the chooser the servers of all data centres, so that requests with the same
+   * prefix reach the same server whichever router receives them. @default 'near-first'
    */
   scope?: PlacementScope;
 }
 
-/** Which data centres a choice begins with. */
+/** Which data centres are considered first. */
 export type PlacementScope = 'near-first' | 'everywhere';
--- a/packages/core/src/types/quarantine.ts
+++ b/packages/core/src/types/quarantine.ts
@@ -1,62 +1,65 @@
-/** What is known of requests that crash the backend servers that run them. */
+/** Types of the quarantine for requests that crash backend servers. */
 
 import type { EpochMs, ServerId } from './ids.js';
 
 /** Digest of account, service and body. */
 export type Fingerprint = string;
 
-/** What the quarantine says about a request. */
+/** Verdict of the quarantine on a request. */
 export type QuarantineVerdict =
-  /** Nothing known: it may run beside others. */
+  /** No known crashes: it may run concurrently with others. */
   | 'clear'
-  /** A server crashed with it in flight: it has to run alone, where servers run few requests at once. */
+  /**
+   * A server crashed with it in flight. Where servers run few requests at once, it must run alone.
+   */
   | 'suspect'
-  /** It crashed servers repeatedly: it gets a final refusal. */
+  /** It crashed servers repeatedly: it is refused. */
   | 'quarantined';
 
-/** A crash of a server with the request in flight. */
+/** A server crash during which the request was in flight. */
 export interface CrashRecord {
   server: ServerId;
   at: EpochMs;
 }
 
-/** What is known about one fingerprint. */
+/** State of one fingerprint. */
 export interface QuarantineEntry {
-  /** Crashes since it was last cleared, oldest first; bounded. */
+  /** Crashes since it was last cleared, oldest first; bounded in number. */
   crashes: CrashRecord[];
   /** When it last finished on a server without a crash; earlier crashes no longer count. */
   clearedAt?: EpochMs;
   quarantinedAt?: EpochMs;
-  /** When an operator let it run again. */
+  /** When an operator released it from quarantine. */
   releasedAt?: EpochMs;
 }
 
-/** A request that ends the servers that run it. */
+/** A request that was shown to crash the servers that run it. */
 export interface ProvenCause {
   fingerprint: Fingerprint;
-  /** Lives of servers that ended under it. */
+  /** Incarnations of servers that crashed with it in flight. */
   servers: ServerId[];
 }
 
-/** Serialisable state. */
+/** Serialisable state of the quarantine. */
 export interface QuarantineState {
   entries: Record<Fingerprint, QuarantineEntry>;
 }
 
-/** What a router has seen. */
+/** An event that a router observed. */
 export type QuarantineEvent =
   | {
       /**
-       * The server's process died. Not for timeouts or an unreachable network: a data centre that is
-       * cut off would make every request in flight there look like poison.
+       * The server's process died. Not used for timeouts or an unreachable network: otherwise, when
+       * a data centre is cut off, every request in flight there would count as a cause of crashes.
        */
       type: 'crashed';
       server: ServerId;
-      /** All requests that were in flight there, each once. */
+      /** All requests that were in flight there, without duplicates. */
       inFlight: Fingerprint[];
       /**
-       * Whether other instances may have had requests in flight there too. What this one had in flight
-       * then proves nothing alone, and each may report the same crash. @default false
+       * Whether other instances may have had requests in flight there too. The requests in flight
+       * from this instance are then no proof by themselves, and several instances may report the
+       * same crash. @default false
        */
       isShared?: boolean;
     }
--- a/packages/core/src/types/refusal.ts
+++ b/packages/core/src/types/refusal.ts
@@ -1,6 +1,6 @@
-/** The closed set of refusals that a caller can receive. */
+/** All refusals that a caller can receive. */
 
-/** Whether a refused request ran. `unknown` is said only where it cannot be known. */
+/** Whether a refused request ran. `unknown` is used only if this cannot be determined. */
 export type RunVerdict = 'not-run' | 'ran' | 'unknown';
 
 /** Why a request was refused. */
@@ -25,12 +25,12 @@
   | 'outcome-unknown'
   | 'answer-expired';
 
-/** A final answer for a request that gets no result. */
+/** Final answer to a request that gets no result. */
 export interface Refusal {
   reason: RefusalReason;
   run: RunVerdict;
-  /** Human-readable sentence that says what the caller can do. */
+  /** Human-readable sentence that explains what the caller can do. */
   detail: string;
-  /** Milliseconds after which a retry can help; absent where it cannot. */
+  /** Milliseconds after which a retry can succeed; absent if a retry cannot succeed. */
   retryAfterMs?: number;
 }
--- a/packages/core/src/types/routedConfig.ts
+++ b/packages/core/src/types/routedConfig.ts
@@ -2,65 +2,67 @@
 
 import type { AccountId, DataCentreId, ServiceName, Tokens } from './ids.js';
 
-/** What may be repeated of a request on a route. */
+/** Whether, and how, requests of a route may be repeated. */
 export type Repetition = 'idempotent' | 'once' | 'resumable-stream' | 'once-stream';
 
-/** A service of a route with its part of the traffic. */
+/** A service of a route with its share of the traffic. */
 export interface RouteTarget {
   service: ServiceName;
   weight: number;
 }
 
-/** Requests of one host whose path begins with the prefix. */
+/** Rules for the requests of one host whose path begins with the prefix. */
 export interface Route {
   name: string;
   host: string;
   pathPrefix: string;
   repetition: Repetition;
-  /** Servers that one request may be run on. */
+  /** Maximum number of servers at which one request is attempted. */
   maxAttempts: number;
-  /** Longest time that a caller is kept waiting for the whole answer, in milliseconds. */
+  /** Maximum time for the whole answer, in milliseconds. */
   timeoutMs: number;
-  /** Time within which an answer, or the first event of a stream, is on time, in milliseconds. */
+  /** Latency target for an answer, or for the first event of a stream, in milliseconds. */
   targetMs: number;
   /** 0 is the most urgent. */
   priority: number;
-  /** Whether a request needs no key. */
+  /** Whether requests need no API key. */
   open: boolean;
   targets: RouteTarget[];
 }
 
-/** A service that requests are passed to. */
+/** A service to which requests are forwarded. */
 export interface RoutedService {
   name: ServiceName;
-  /** Path at which a server tells whether it is well and stays; absent where it has none. */
+  /**
+   * Path of the health check, which also shows whether a server is leaving; absent if there is none.
+   */
   healthPath?: string;
-  /** Whether it generates text, so that requests gain from a server that read the same prompt. */
+  /** Whether it generates text: requests then gain from a server that has cached the same prompt. */
   generates: boolean;
-  /** Whether a server can copy a prompt that another has read. */
+  /** Whether a server can copy the cached state of a prompt from another server. */
   copiesPrompts: boolean;
-  /** Tokens that fit into the memory of a server; absent where it does not say. */
+  /** Tokens that fit into the memory of a server; absent if unknown. */
   memoryTokens?: Tokens;
-  /** Most tokens that one event of a stream holds. */
+  /** Maximum number of tokens in one stream event. */
   tokensPerEvent: number;
 }
 
-/** A client account with its keys. */
+/** A client account with its API keys. */
 export interface RoutedAccount {
   name: AccountId;
   keys: string[];
-  /** Goes before the route's. */
+  /** Overrides the route's priority. */
   priority?: number;
-  /** Tokens that may be used in all; absent where the account is not limited. */
+  /** Total tokens that may be used; absent if the account has no limit. */
   prepaid?: Tokens;
 }
 
-/** Bounds on what callers may send. */
+/** Limits for requests and connections of callers. */
 export interface CallerLimits {
   maxBodyBytes: number;
-  /** Milliseconds in which a request's head has to come. */
+  /** Milliseconds within which the headers of a request must arrive. */
   headMs: number;
-  /** Milliseconds for which a connection may be idle. */
+  /** Idle timeout of a connection, in milliseconds. */
   idleMs: number;
 }
 
@@ -73,15 +75,18 @@
   limits: CallerLimits;
 }
 
-/** A server as its entry in the list says. */
+/** A backend server as described by its entry in the server list. */
 export interface ListedServer {
   service: ServiceName;
   dataCentre: DataCentreId;
   /** `http://host:port`. */
   url: string;
   state: 'live' | 'leaving';
-  /** Requests that it works on at once. */
+  /** Number of requests that it runs concurrently. */
   slots: number;
-  /** When this life of the server began, by its own clock; a change means that it holds nothing. */
+  /**
+   * Start time of this server process, by its own clock. A change means that the server has
+   * restarted and has lost all its state.
+   */
   bornAt?: number | undefined;
 }
