--- a/packages/core/src/runtime/admission/admissionQueue.ts
+++ b/packages/core/src/runtime/admission/admissionQueue.ts
@@ -1,4 +1,4 @@
-/** Bounded queue of the requests of one service that wait for a backend server. */
+/** Bounded queue for requests of one service that wait for a backend server. */
 
 import type { EpochMs } from '../../types/ids.js';
 import type { PlacementTest, QueueDiscipline, QueueEntry } from './queueDiscipline.js';
@@ -7,32 +7,32 @@
 
 /** Options of a queue. */
 export interface AdmissionQueueOptions {
-  /** Most requests that wait at once. */
+  /** Maximum number of waiting requests. */
   maxSize: number;
   /** @default ImportanceDeadlineDiscipline */
   discipline?: QueueDiscipline;
-  /** Whether hopeless requests are refused when they come. @default true */
+  /** Whether requests that would miss their deadline are refused on arrival. @default true */
   refuseUnreachable?: boolean;
 }
 
-/** Why a waiting request is given up. None of them was sent, so all are `not-run`. */
+/** Why a request was shed. A shed request was never sent, so its run verdict is `not-run`. */
 export type ShedReason = 'overloaded' | 'deadline-unreachable' | 'deadline-passed';
 
-/** A waiting or arriving request that gets its final refusal now. */
+/** A waiting or arriving request that is refused now. */
 export interface ShedEntry {
   entry: QueueEntry;
   reason: ShedReason;
-  /** Milliseconds after which a retry can help; absent where it cannot. */
+  /** Milliseconds after which a retry can succeed; absent if it cannot. */
   retryAfterMs?: number;
 }
 
-/** Answer to an offered request. `shed` may hold the request itself or a less valuable one. */
+/** Result of an offer. `shed` may contain the offered request or a less valuable one. */
 export interface OfferResult {
   queued: boolean;
   shed: ShedEntry[];
 }
 
-/** Next request, with those that were found to be too late on the way. */
+/** Next request, and the requests that were too late and were shed before it. */
 export interface TakeResult {
   entry?: QueueEntry;
   shed: ShedEntry[];
@@ -40,12 +40,12 @@
 
 const MIN_RETRY_AFTER_MS = 200;
 const MAX_RETRY_AFTER_MS = 30_000;
-/** Retry time while no drain rate is known, in milliseconds. */
+/** Retry time while the drain rate is unknown, in milliseconds. */
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
 /**
- * Waiting requests of one service. Every request that it gives up is returned at once, so that its
- * caller gets a final refusal and never waits for nothing.
+ * Waiting requests of one service. Every shed request is returned at once, so that its caller is
+ * refused immediately.
  *
  * @example
  * const queue = new AdmissionQueue({ maxSize: 256 });
@@ -69,7 +69,10 @@
     return this.#discipline.size;
   }
 
-  /** Adds a request, or refuses it or a less valuable one. */
+  /**
+   * Adds a request. Sheds it if it cannot meet its deadline, or the least valuable request if the queue is
+   * full.
+   */
   offer(entry: QueueEntry, now: EpochMs): OfferResult {
     const late = this.#judge(entry, this.predictWaitMs(entry, now), now);
     if (late) return { queued: false, shed: [late] };
@@ -79,7 +82,7 @@
   }
 
   /**
-   * Takes the next request that can still be answered in time, among those that can be placed.
+   * Removes the next request that can be placed and can still meet its deadline.
    *
    * @example
    * const { entry, shed } = queue.take(now, (importance, owed) => pool.hasRoom(reserve.ruleFor(importance, owed), now));
@@ -98,7 +101,7 @@
     }
   }
 
-  /** Gives up all requests whose deadline has passed; to be called at short intervals. */
+  /** Sheds all requests whose deadline has passed; call it at short intervals. */
   expire(now: EpochMs): ShedEntry[] {
     return this.#discipline
       .entries()
@@ -107,18 +110,18 @@
       .map((entry) => ({ entry, reason: 'deadline-passed' }));
   }
 
-  /** Earliest deadline of all waiting requests, at which {@link expire} has work to do. */
+  /** Earliest deadline of all waiting requests; {@link expire} has nothing to do before it. */
   nextDeadline(): EpochMs | undefined {
     const deadlines = this.#discipline.entries().map((entry) => entry.deadline);
     return deadlines.length === 0 ? undefined : Math.min(...deadlines);
   }
 
-  /** Removes a request whose caller went away. */
+  /** Removes a request whose caller disconnected. */
   remove(id: number): boolean {
     return this.#discipline.remove(id) !== undefined;
   }
 
-  /** Removes all requests, when the service or the router stops. */
+  /** Removes all requests when the service or the router stops. */
   clear(): QueueEntry[] {
     const entries = this.#discipline.entries();
     for (const entry of entries) this.#discipline.remove(entry.id);
@@ -126,9 +129,9 @@
   }
 
   /**
-   * Expected wait of a request in milliseconds, were it added now; 0 while no rate is known. Judged
-   * by the lane's own rate where that was measured: it includes the more important requests that
-   * keep coming after this one and are served before it.
+   * Expected wait of a request if it were added now, in milliseconds; 0 while no rate is known. The
+   * drain rate of its own lane is used if it was measured: it accounts for the more important
+   * requests that arrive later but are served first.
    */
   predictWaitMs(entry: QueueEntry, now: EpochMs): number {
     const laneRate = this.#laneDrains.get(this.#discipline.laneOf(entry))?.perMs(now);
@@ -137,7 +140,7 @@
     return rate === undefined ? 0 : this.#discipline.countAhead(entry) / rate;
   }
 
-  /** Milliseconds after which the present backlog is worked off, for `Retry-After`. */
+  /** Milliseconds until the current backlog has drained, for `Retry-After`. */
   retryAfterMs(now: EpochMs): number {
     const rate = this.#drain.perMs(now);
     if (rate === undefined) return DEFAULT_RETRY_AFTER_MS;
--- a/packages/core/src/runtime/admission/drainRate.ts
+++ b/packages/core/src/runtime/admission/drainRate.ts
@@ -1,15 +1,15 @@
-/** Rate at which a backlog is worked off, measured over the last takes. */
+/** Rate at which a backlog drains, measured over the most recent takes. */
 
 import type { EpochMs } from '../../types/ids.js';
 
 const WINDOW_TAKES = 64;
 const MIN_TAKES = 4;
-/** Takes older than this say nothing about the present, in milliseconds. */
+/** Maximum age of takes that count, in milliseconds. */
 const MAX_AGE_MS = 30_000;
 
 /**
- * Counts takes from a queue that has a backlog. Takes from an empty queue would measure the arrival
- * rate instead.
+ * Counts takes from a queue that has a backlog. Without a backlog, takes would show the arrival rate
+ * instead.
  */
 export class DrainRate {
   #takes: EpochMs[] = [];
@@ -19,17 +19,17 @@
     if (this.#takes.length > WINDOW_TAKES) this.#takes.shift();
   }
 
-  /** Forgets all takes; called when the backlog is gone. */
+  /** Removes all takes; called when there is no backlog any more. */
   reset(): void {
     this.#takes = [];
   }
 
-  /** Takes per millisecond, or `undefined` while too few were seen. */
+  /** Takes per millisecond; `undefined` while there are too few. */
   perMs(now: EpochMs): number | undefined {
     const recent = this.#takes.filter((at) => now - at <= MAX_AGE_MS);
     const first = recent[0];
     if (first === undefined || recent.length < MIN_TAKES) return undefined;
-    // until `now`, not until the last take: a queue that has stalled gets slower by the minute.
+    // up to `now`, not up to the last take, so that the rate of a stalled queue decreases.
     return recent.length / Math.max(now - first, 1);
   }
 }
--- a/packages/core/src/runtime/admission/importanceReserve.ts
+++ b/packages/core/src/runtime/admission/importanceReserve.ts
@@ -1,23 +1,23 @@
 /**
- * Places that less important work leaves free, so that a more important request finds one when it
- * comes. Derived from targets alone: the reserve grows while a class misses its target.
+ * Slots that less important requests leave free, so that a more important request finds one when it
+ * arrives. The reserve depends on latency targets only: it grows while a class misses its target.
  */
 
 import type { Importance } from '../../types/declaration.js';
 import type { PlacementRule } from '../routing/serverPool.js';
 
-/** Tuning of a reserve. */
+/** Settings of a reserve. */
 export interface ImportanceReserveSettings {
-  /** Largest part of all places that is kept free. @default 0.15 */
+  /** Maximum fraction of all slots that is kept free for one importance. @default 0.15 */
   max: 0.15;
-  /** Part added after a window that missed the target. @default 0.03 */
+  /** Fraction added after a window that missed the target. @default 0.03 */
   step: number;
-  /** Factor after a window that met it. @default 0.9 */
+  /** Factor applied after a window that met the target. @default 0.9 */
   decay: number;
   /**
-   * Part of a server's places that requests of the first importance may use beyond its limit. They
-   * wait at the server then, whose own queue serves them by priority, for whichever place there is
-   * free first, also one given up by another router. @default 0.5
+   * Fraction of a server's slots that requests of the first importance may use beyond its limit. These
+   * requests wait in the server's own queue, which serves them by priority. They get the first slot
+   * that becomes free there, even if another router was using it. @default 0.5
    */
   extraForFirst: 0.5;
 }
@@ -28,13 +28,13 @@
   decay: 0.9,
   extraForFirst: 0.5,
 };
-/** Answers over which one decision is made. */
+/** Number of answers per decision. */
 const WINDOW_SAMPLES = 20;
-/** Share of answers in a window that may miss their target (the target is for 95 in 100). */
+/** Fraction of the answers in a window that may miss their target (targets are for 95 in 100). */
 const ALLOWED_MISSES = 0.05;
 
-/** One adaptive part, driven by the misses of the work that it protects. */
-class ReservedPart {
+/** Adaptive fraction, driven by the misses of the requests that it protects. */
+class ReservedFraction {
   part = 0;
   #samples = 0;
   #misses = 0;
@@ -60,23 +60,23 @@
  */
 export class ImportanceReserve {
   readonly #settings: ImportanceReserveSettings;
-  readonly #forFirst = new ReservedPart();
-  readonly #forStandard = new ReservedPart();
+  readonly #forFirst = new ReservedFraction();
+  readonly #forStandard = new ReservedFraction();
 
   constructor(settings: Partial<ImportanceReserveSettings> = {}) {
     this.#settings = { ...defaultSettings, ...settings };
   }
 
   /**
-   * Takes in whether a request missed its target, counted from its arrival. A request that was
-   * refused for want of places counts as missed.
+   * Records whether a request missed its target, measured from its arrival. A request that was refused
+   * because no slot was free counts as a miss.
    */
   sample(importance: Importance, missed: boolean): void {
     if (importance === 'first') this.#forFirst.sample(missed, this.#settings);
     if (importance === 'standard') this.#forStandard.sample(missed, this.#settings);
   }
 
-  /** Places that a request may use; at the turn of its minimum share no reserve applies. */
+  /** Slots that a request may use; no reserve applies if it is due by its minimum share. */
   ruleFor(importance: Importance, owed = false): PlacementRule {
     if (importance === 'first') return { keptFree: 0, extra: this.#settings.extraForFirst };
     return { keptFree: owed ? 0 : this.#keptFreeBy(importance), extra: 0 };
--- a/packages/core/src/runtime/admission/queueDiscipline.ts
+++ b/packages/core/src/runtime/admission/queueDiscipline.ts
@@ -1,4 +1,4 @@
-/** Order in which waiting requests are served and shed. */
+/** Queue disciplines: the order in which waiting requests are served and shed. */
 
 import type { Importance } from '../../types/declaration.js';
 import type { EpochMs } from '../../types/ids.js';
@@ -7,19 +7,19 @@
 export interface QueueEntry {
   id: number;
   importance: Importance;
-  /** Latest time at which the whole answer is still of use. */
+  /** Latest time at which the whole answer is still useful. */
   deadline: EpochMs;
-  /** Time at which the class's target for the first token is missed. @default deadline */
+  /** Time by which the first token meets the target of the class. @default deadline */
   targetAt?: EpochMs;
-  /** Expected time of the work itself in milliseconds, once started. @default 0 */
+  /** Expected service time, without waiting, in milliseconds. @default 0 */
   serviceMs?: number;
 }
 
 export type QueueDisciplineName = 'fifo' | 'importance-deadline';
 
 /**
- * Whether a request of this importance can be placed now. `owed` says that it is the turn of its
- * minimum share, to which no reserve applies.
+ * Whether a request of this importance can be placed now. `owed` means that it is due by the minimum
+ * share of its importance, so no reserve applies.
  */
 export type PlacementTest = (importance: Importance, owed: boolean) => boolean;
 
@@ -28,21 +28,21 @@
   abstract readonly name: QueueDisciplineName;
   abstract get size(): number;
   abstract add(entry: QueueEntry): void;
-  /** Removes and returns the request to be served next, among those that can be placed. */
+  /** Removes and returns the next request that can be placed. */
   abstract take(canPlace: PlacementTest): QueueEntry | undefined;
   abstract remove(id: number): QueueEntry | undefined;
-  /** The request to be given up when there is one too many. */
+  /** The request to shed when the queue is full. */
   abstract leastValuable(): QueueEntry | undefined;
-  /** Requests that would be served before the given one, were it added now. */
+  /** Number of requests that would be served before the given one if it were added now. */
   abstract countAhead(entry: QueueEntry): number;
-  /** Requests of the same lane that would be served before it; a lane is served in fixed order. */
+  /** The same, counting only requests of its lane; a lane is served in a fixed order. */
   abstract countAheadInLane(entry: QueueEntry): number;
-  /** Name of the lane that a request waits in. */
+  /** Name of the lane in which a request waits. */
   abstract laneOf(entry: QueueEntry): string;
   abstract entries(): QueueEntry[];
 }
 
-/** First come, first served; sheds the newcomer. The baseline. */
+/** First in, first out; sheds the newest request. The baseline for comparisons. */
 export class FifoDiscipline extends QueueDiscipline {
   override readonly name = 'fifo';
   readonly #queue: QueueEntry[] = [];
@@ -88,7 +88,7 @@
 /** From most to least important. */
 const importanceOrder: readonly Importance[] = ['first', 'standard', 'background'];
 
-/** Part of takes and of places that a class of importance keeps while others press. */
+/** Minimum fraction of takes, and of the queue, that each importance keeps under overload. */
 export type MinimumShares = Record<Importance, number>;
 
 export const defaultMinimumShares: MinimumShares = {
@@ -100,18 +100,18 @@
 /** Waiting requests of one importance. */
 interface Lane {
   importance: Importance;
-  /** Sorted by order time, earliest first. */
+  /** Sorted by deadline, earliest first. */
   queue: QueueEntry[];
-  /** Takes by others since this lane was served, while it had requests. */
+  /** Takes from other lanes since this lane was last served, counted while it had requests. */
   passedOver: number;
 }
 
 /**
- * More important requests first, the earliest due first among equals.
+ * Serves more important requests first and, at equal importance, the earliest deadline first.
  *
- * Less important lanes keep a minimum share of takes and of places, so that they are slow under
- * overload but never starve. Aging was not chosen: under lasting overload every request grows old,
- * and the order ends as first come, first served, just when importance counts.
+ * Less important lanes keep a minimum share of takes and of the queue, so that under overload they are
+ * slow but never starve. Aging is not used: under lasting overload every request gets old, and the
+ * order becomes first in, first out, just when importance matters.
  */
 export class ImportanceDeadlineDiscipline extends QueueDiscipline {
   override readonly name = 'importance-deadline';
@@ -183,11 +183,13 @@
 
   #nextLane(canPlace: PlacementTest): Lane | undefined {
     const waiting = this.#lanes.filter((lane) => lane.queue.length > 0);
-    const owed = waiting.findLast((lane) => this.#isOwed(lane) && canPlace(lane.importance, true));
+    const owed = waiting.findLast(
+      (lane) => this.#isDueByMinimumShare(lane) && canPlace(lane.importance, true),
+    );
     return owed ?? waiting.find((lane) => canPlace(lane.importance, false));
   }
 
-  #isOwed(lane: Lane): boolean {
+  #isDueByMinimumShare(lane: Lane): boolean {
     const share = this.#shares[lane.importance];
     return share > 0 && (lane.passedOver + 1) * share >= 1;
   }
--- a/packages/core/src/runtime/admission/serviceTime.ts
+++ b/packages/core/src/runtime/admission/serviceTime.ts
@@ -1,8 +1,8 @@
-/** Expected time of a class's requests at their backend servers. */
+/** Expected service time of the requests of a class at their backend servers. */
 
 import type { EpochMs } from '../../types/ids.js';
 
-/** Moving mean and mean deviation, in milliseconds. */
+/** Moving mean and moving mean deviation, in milliseconds. */
 export interface ServiceTime {
   meanMs: number;
   deviationMs: number;
@@ -12,13 +12,13 @@
 
 const MEAN_WEIGHT = 0.1;
 const DEVIATION_WEIGHT = 0.2;
-/** Deviations above the mean within which nearly all requests end. */
-const CAUTION = 2;
-/** Time without an answer in which the expectation halves, in milliseconds. */
+/** Number of deviations above the mean within which nearly all requests end. */
+const DEVIATION_FACTOR = 2;
+/** Time without an answer after which the expected time halves, in milliseconds. */
 const HALF_LIFE_MS = 20_000;
 
 /**
- * Takes in the time of one answer, from dispatch to its end.
+ * Records the service time of one answer, from dispatch to end.
  *
  * @example
  * times.set(name, recordServiceTime(times.get(name), 840, now));
@@ -38,15 +38,15 @@
 }
 
 /**
- * Time within which nearly all requests of the class end; 0 while nothing is known. Judged by the
- * mean, half of the requests that are sent just before their deadline would be cut off there, and
- * the work already done for them lost.
+ * Time within which nearly all requests of the class end, in milliseconds; 0 while unknown. With the
+ * mean alone, half of the requests sent just before their deadline would be cut off, and the work
+ * already done for them would be lost.
  *
- * The expectation fades while no answer comes: after an incident it can exceed the class's deadline,
- * so that every request is refused, none ends, and nothing would ever correct it.
+ * The expected time decays while no answer arrives. After an incident it can exceed the deadline of the
+ * class; every request is then refused, none ends, and without decay it would never be corrected.
  */
 export function cautiousServiceMs(known: ServiceTime | undefined, now: EpochMs): number {
   if (!known) return 0;
   const faded = 0.5 ** (Math.max(0, now - known.at) / HALF_LIFE_MS);
-  return (known.meanMs + CAUTION * known.deviationMs) * faded;
+  return (known.meanMs + DEVIATION_FACTOR * known.deviationMs) * faded;
 }
--- a/packages/core/src/runtime/news/chooseListeners.ts
+++ b/packages/core/src/runtime/news/chooseListeners.ts
@@ -1,11 +1,12 @@
-/** Whom an instance tells its news. */
+/** Chooses the peers to which an instance gossips. */
 
 import type { DataCentreId } from '../../types/ids.js';
 import type { FleetInstance } from '../../types/prepaid.js';
 
 /**
- * Some of the others at random, all but one of the own data centre: bytes between data centres cost more, and
- * each of them has to hear of it from somebody.
+ * Picks peers at random. One is from another data centre and the rest are local, because traffic between
+ * data centres costs more but must reach each of them. More remote peers are picked only if there
+ * are too few local ones.
  *
  * @param random numbers from 0 (included) to 1 (excluded).
  * @example
--- a/packages/core/src/runtime/news/newsLog.ts
+++ b/packages/core/src/runtime/news/newsLog.ts
@@ -1,13 +1,13 @@
-/** The news of a fleet that one instance knows, so that it can tell any other what that one lacks. */
+/** Gossip log of one instance: the facts that it knows and can send to peers that miss them. */
 
 import type { EpochMs, IncarnationId } from '../../types/ids.js';
 import type { DatedNews, FleetNews, NewsItem, NewsVersions } from '../../types/news.js';
 
-/** News that are kept; beyond it the oldest go. */
+/** Maximum number of facts kept; above it the oldest are removed. */
 const MAX_KEPT = 512;
-/** News in one message; the rest goes with the next ones. */
+/** Maximum number of facts in one message; the others follow in later messages. */
 export const MAX_NEWS_PER_MESSAGE = 128;
-/** Origins of which the last number is remembered although none of their news is kept. */
+/** Maximum number of origins; above it, origins without kept facts are removed. */
 const MAX_ORIGINS = 512;
 
 interface KeptNews extends DatedNews {
@@ -16,13 +16,13 @@
 
 interface Origin {
   last: number;
-  /** In the order of their numbers, without a gap. */
+  /** Ordered by sequence number, without gaps. */
   kept: KeptNews[];
 }
 
 /**
- * News by origin. An origin's news are told in the order of their numbers, so one number for each origin says
- * what is known.
+ * Facts by origin. The facts of an origin are sent in the order of their sequence numbers, so the last
+ * number of each origin describes everything that an instance knows.
  *
  * @example
  * log.add({ type: 'finished', fingerprint }, now);
@@ -37,12 +37,12 @@
     this.#self = self;
   }
 
-  /** Whether there is anything to tell. */
+  /** Whether there is no fact to send. */
   get isEmpty(): boolean {
     return [...this.#origins.values()].every(({ kept }) => kept.length === 0);
   }
 
-  /** When the last news came; -Infinity before the first. */
+  /** When the last fact was added; -Infinity before the first. */
   get newestAt(): EpochMs {
     return this.#newestAt;
   }
@@ -52,13 +52,13 @@
     return Object.fromEntries(entries);
   }
 
-  /** Adds what this instance found out itself. */
+  /** Adds a fact that this instance observed itself. */
   add(news: FleetNews, now: EpochMs): void {
     const { last } = this.#originOf(this.#self);
     this.#keep(this.#self, { seq: last + 1, at: now, news }, now);
   }
 
-  /** Takes what another instance told; returns what was not known, in the order in which it was told. */
+  /** Adds facts from another instance; returns those that were new, in the order received. */
   take(items: readonly NewsItem[], now: EpochMs): DatedNews[] {
     return items.flatMap(({ origin, seq, ageMs, news }) => {
       if (seq <= this.#originOf(origin).last) return [];
@@ -68,7 +68,7 @@
     });
   }
 
-  /** What an instance that knows so much lacks, the oldest first of each origin. */
+  /** Facts that an instance with the given version vector misses, oldest first for each origin. */
   lackedBy(known: NewsVersions, now: EpochMs): NewsItem[] {
     const lacked = [...this.#origins].flatMap(([origin, { kept }]) => {
       const after = known[origin] ?? 0;
@@ -87,7 +87,7 @@
     const origin = this.#originOf(name);
     origin.kept.push(news);
     origin.last = news.seq;
-    // the origin that spoke last stands last.
+    // keep origins in the order of their last addition.
     this.#origins.delete(name);
     this.#origins.set(name, origin);
     this.#newestAt = now;
--- a/packages/core/src/runtime/quarantine/crashEvidence.ts
+++ b/packages/core/src/runtime/quarantine/crashEvidence.ts
@@ -1,6 +1,6 @@
 /**
- * Tells a request that ends its servers from those that were only beside it, where servers run dozens of
- * requests at once and no instance sees them all.
+ * Distinguishes a request that crashes its servers from requests that only ran beside it. This applies
+ * where servers run dozens of requests at once and no instance sees all of them.
  */
 
 import type { EpochMs, ServerId } from '../../types/ids.js';
@@ -12,47 +12,53 @@
   QuarantineState,
 } from '../../types/quarantine.js';
 
-/** Servers that ended under a request, at the least, before it is taken for the cause. */
-const LEAST_ENDED = 3;
-/** Servers that ended under it after which it is, whatever else ended servers meanwhile. */
-const MOST_ENDED = 5;
-/** Servers that ended without it for which one more under it is wanted. */
-const OTHERS_FOR_ONE_MORE = 2;
+/** Minimum number of servers that crashed with a request in flight before it counts as the cause. */
+const MIN_CRASHED_SERVERS = 3;
+/** Number of crashed servers at which it counts as the cause regardless of other crashes. */
+const CERTAIN_CRASHED_SERVERS = 5;
+/** Crashes of other servers, without the request, for which one more with it is required. */
+const OTHER_CRASHES_PER_EXTRA = 2;
 
-/** Milliseconds before its first crash from which other servers that ended count, too. */
+/** Crashes of other servers count from this many milliseconds before its first crash. */
 const LOOK_BACK_MS = 10_000;
 
 const MS_PER_MINUTE = 60_000;
-/** How long a suspect stays one, in milliseconds. */
+/** How long a request stays a suspect, in milliseconds. */
 export const SUSPECT_MS = 10 * MS_PER_MINUTE;
-/** How long a cause is refused at first, in milliseconds: it may be a neighbour after all. */
+/**
+ * How long a cause is refused at first, in milliseconds. It may only have run beside the real cause.
+ */
 const FIRST_REFUSAL_MS = 10 * MS_PER_MINUTE;
-/** The same where servers ended without it as well, or another may be the cause, in milliseconds. */
-const UNSURE_REFUSAL_MS = MS_PER_MINUTE;
-/** How long it is refused when it has ended a server once more after that, in milliseconds. */
-const LAST_REFUSAL_MS = 24 * 60 * MS_PER_MINUTE;
+/**
+ * The same if servers crashed without it as well, or if another request may be the cause, in
+ * milliseconds.
+ */
+const UNCERTAIN_REFUSAL_MS = MS_PER_MINUTE;
+/** How long it is refused if it crashed a server again after a refusal, in milliseconds. */
+const REPEATED_REFUSAL_MS = 24 * 60 * MS_PER_MINUTE;
 
-/** Crashes that count against a request: since it last finished, and not too old. */
+/** Crashes that count against a request: those since it last finished that are not too old. */
 export function countedCrashes(
   { crashes, clearedAt }: QuarantineEntry,
   now: EpochMs,
 ): CrashRecord[] {
   const since = crashes.filter(({ at }) => at > (clearedAt ?? -Infinity));
-  const memoryMs = serversOf(since).size >= LEAST_ENDED ? LAST_REFUSAL_MS : SUSPECT_MS;
+  const memoryMs = serversOf(since).size >= MIN_CRASHED_SERVERS ? REPEATED_REFUSAL_MS : SUSPECT_MS;
   return since.filter(({ at }) => now - at < memoryMs);
 }
 
-/** Whether so many servers ended under a request that it has to be remembered for long. */
-export function isOftenThere(entry: QuarantineEntry, now: EpochMs): boolean {
-  return endedUnder(entry, now).size >= LEAST_ENDED;
+/** Whether enough servers crashed with a request in flight that its entry must be kept longer. */
+export function hasManyCrashes(entry: QuarantineEntry, now: EpochMs): boolean {
+  return crashedServers(entry, now).size >= MIN_CRASHED_SERVERS;
 }
 
-/** How sure it is that a request is the cause of the crashes that it was in. */
+/** How certain it is that a request caused the crashes during which it was in flight. */
 type Proof = 'none' | 'unsure' | 'sure';
 
 /**
- * Milliseconds for which a request is refused as the cause of crashes; 0 where it is none by what is known.
- * Each instance that knows of the same crashes says the same, whoever saw them.
+ * Remaining milliseconds for which a request is refused as the cause of crashes; 0 if it is not known to
+ * be a cause. All instances that know of the same crashes get the same result, whichever instance
+ * observed them.
  *
  * @example
  * if (refusedForMs(state, fingerprint, now) > 0) refuse();
@@ -70,7 +76,7 @@
   return Math.max(0, refusalMs(crashes, proof) - sinceMs);
 }
 
-/** Those of some requests that are surely causes, with the servers that prove it. */
+/** Filters the requests that certainly are causes, with the crashed servers that prove it. */
 export function provenCauses(
   state: QuarantineState,
   fingerprints: readonly Fingerprint[],
@@ -79,7 +85,7 @@
   return fingerprints.flatMap((fingerprint) => {
     const entry = state.entries[fingerprint];
     if (!entry || proofOf(state, fingerprint, entry, now) !== 'sure') return [];
-    return [{ fingerprint, servers: [...endedUnder(entry, now)] }];
+    return [{ fingerprint, servers: [...crashedServers(entry, now)] }];
   });
 }
 
@@ -91,30 +97,30 @@
 ): Proof {
   const crashes = countedCrashes(entry, now);
   const ended = serversOf(crashes);
-  if (ended.size < LEAST_ENDED) return 'none';
+  if (ended.size < MIN_CRASHED_SERVERS) return 'none';
   const rivals = rivalsOf(state, fingerprint, now);
   if ([...ended].every((server) => isExplained(server, ended.size, rivals))) return 'none';
-  const others = endedWithout(state, crashes, rivals);
-  const wanted = LEAST_ENDED + Math.floor(others / OTHERS_FOR_ONE_MORE);
-  if (ended.size < Math.min(MOST_ENDED, wanted)) return 'none';
-  return wanted > LEAST_ENDED || rivals.length > 0 ? 'unsure' : 'sure';
+  const others = countCrashedWithout(state, crashes, rivals);
+  const wanted = MIN_CRASHED_SERVERS + Math.floor(others / OTHER_CRASHES_PER_EXTRA);
+  if (ended.size < Math.min(CERTAIN_CRASHED_SERVERS, wanted)) return 'none';
+  return wanted > MIN_CRASHED_SERVERS || rivals.length > 0 ? 'unsure' : 'sure';
 }
 
-/** Other requests under which as many servers ended as a cause needs, with these servers. */
+/** For each other request with enough crashed servers to be a cause, the set of these servers. */
 function rivalsOf(
   { entries }: QuarantineState,
   fingerprint: Fingerprint,
   now: EpochMs,
 ): Set<ServerId>[] {
   return Object.entries(entries).flatMap(([other, entry]) => {
-    const ended = other === fingerprint ? undefined : endedUnder(entry, now);
-    return ended && ended.size >= LEAST_ENDED ? [ended] : [];
+    const ended = other === fingerprint ? undefined : crashedServers(entry, now);
+    return ended && ended.size >= MIN_CRASHED_SERVERS ? [ended] : [];
   });
 }
 
 /**
- * Whether another request was there that is as likely the cause. Two that always come together are both refused
- * in the end.
+ * Whether another request that is at least as likely the cause was in flight at this server. Two requests
+ * that always run together are both refused once each reaches `CERTAIN_CRASHED_SERVERS`.
  */
 function isExplained(
   server: ServerId,
@@ -122,13 +128,14 @@
   rivals: readonly ReadonlySet<ServerId>[],
 ): boolean {
   return rivals.some((ended) => {
-    const isLikelier = ended.size > count || (ended.size === count && count < MOST_ENDED);
+    const isLikelier =
+      ended.size > count || (ended.size === count && count < CERTAIN_CRASHED_SERVERS);
     return isLikelier && ended.has(server);
   });
 }
 
-/** Servers that ended without a request about the time of its crashes, and that no other cause explains. */
-function endedWithout(
+/** Number of servers that crashed without a request, near its crashes, unexplained by a rival. */
+function countCrashedWithout(
   { entries }: QuarantineState,
   crashes: readonly CrashRecord[],
   rivals: readonly ReadonlySet<ServerId>[],
@@ -141,19 +148,19 @@
 }
 
 function refusalMs(crashes: readonly CrashRecord[], proof: Proof): number {
-  if (hasReturned(crashes)) return LAST_REFUSAL_MS;
-  return proof === 'sure' ? FIRST_REFUSAL_MS : UNSURE_REFUSAL_MS;
+  if (crashedAfterRefusal(crashes)) return REPEATED_REFUSAL_MS;
+  return proof === 'sure' ? FIRST_REFUSAL_MS : UNCERTAIN_REFUSAL_MS;
 }
 
-/** Whether it was let run again after a refusal and ended a server then. */
-function hasReturned(crashes: readonly CrashRecord[]): boolean {
-  return crashes.slice(LEAST_ENDED).some(({ at }, i) => {
-    const before = crashes[LEAST_ENDED + i - 1];
-    return before !== undefined && at - before.at >= UNSURE_REFUSAL_MS;
+/** Whether it ran again after a refusal and crashed another server. */
+function crashedAfterRefusal(crashes: readonly CrashRecord[]): boolean {
+  return crashes.slice(MIN_CRASHED_SERVERS).some(({ at }, i) => {
+    const before = crashes[MIN_CRASHED_SERVERS + i - 1];
+    return before !== undefined && at - before.at >= UNCERTAIN_REFUSAL_MS;
   });
 }
 
-function endedUnder(entry: QuarantineEntry, now: EpochMs): Set<ServerId> {
+function crashedServers(entry: QuarantineEntry, now: EpochMs): Set<ServerId> {
   return serversOf(countedCrashes(entry, now));
 }
 
--- a/packages/core/src/runtime/quarantine/quarantine.ts
+++ b/packages/core/src/runtime/quarantine/quarantine.ts
@@ -1,9 +1,9 @@
 /**
  * Quarantine of requests that crash the backend servers that run them.
  *
- * A request is known by its fingerprint, a digest of account, service and body, so that it is
- * recognised when its caller sends it again, under whatever id and at whatever router. The state
- * can be merged with that of peers in any order, any number of times.
+ * A request is identified by its fingerprint, a digest of account, service and body. It is thus
+ * recognised when its caller sends it again, with any id and at any router. The state can be merged
+ * with the state of peers in any order, any number of times.
  */
 
 import type { EpochMs } from '../../types/ids.js';
@@ -15,20 +15,20 @@
   QuarantineState,
   QuarantineVerdict,
 } from '../../types/quarantine.js';
-import { SUSPECT_MS, countedCrashes, isOftenThere, refusedForMs } from './crashEvidence.js';
+import { SUSPECT_MS, countedCrashes, hasManyCrashes, refusedForMs } from './crashEvidence.js';
 
-/** Fingerprints kept; beyond it the oldest suspects go first. */
+/** Maximum number of fingerprints; above it the oldest suspects are removed first. */
 const MAX_ENTRIES = 1_024;
-/** Fingerprints left after that; some fewer, so that not each further one costs a sort of all. */
+/** Fingerprints left after removal; fewer than the maximum, so that not every addition sorts all. */
 const ENTRIES_AFTER_BOUND = 896;
 const MAX_CRASHES = 8;
-/** Crashes in a row that quarantine even where a service has a single server. */
+/** Consecutive crashes that quarantine a request even if the service has a single server. */
 const CRASHES_ON_ONE_SERVER = 3;
 /** How long a quarantine lasts, in milliseconds. */
 const QUARANTINE_MS = 24 * 60 * 60_000;
 
 /**
- * A quarantine that knows nothing.
+ * Creates an empty quarantine.
  *
  * @example
  * let state = createQuarantine();
@@ -39,7 +39,7 @@
   return { entries: {} };
 }
 
-/** Says how a request may run. */
+/** Returns the verdict on a request. */
 export function judgeFingerprint(
   state: QuarantineState,
   fingerprint: Fingerprint,
@@ -52,14 +52,14 @@
 }
 
 /**
- * Takes in what a router saw.
+ * Applies an event that a router observed.
  *
- * A first crash makes everything that was in flight a suspect; suspects run alone, so the innocent
- * ones finish and are cleared. A suspect that was alone in a crash on another server is the cause.
- * One that had neighbours in its second crash is the cause only if no neighbour was a suspect too:
- * else two requests that crashed together at two routers could not be told apart, and the innocent
- * one would be refused for a day. Of a crash that several routers report none saw all: it adds to the
- * evidence only (`crashEvidence`).
+ * After a first crash, every request that was in flight is a suspect. Suspects run alone, so innocent
+ * ones finish and are cleared. A suspect that was alone in a crash on another server is the cause. A
+ * suspect whose second crash had other requests in flight is the cause only if none of these was a
+ * suspect too. Otherwise two requests that crashed together at two routers could not be
+ * distinguished, and the innocent one would be refused for a day. If several routers report the same
+ * crash, none of them saw all requests in flight: the crash only adds evidence (see `crashEvidence`).
  */
 export function reduceQuarantine(
   state: QuarantineState,
@@ -71,7 +71,7 @@
       return event.isShared ? recordShared(state, event, now) : recordCrash(state, event, now);
     case 'finished': {
       const entry = state.entries[event.fingerprint];
-      // nearly all requests end here, unknown to the quarantine.
+      // common case: the quarantine has no crashes of this request.
       if (!entry || countedCrashes(entry, now).length === 0) return state;
       return withEntry(state, event.fingerprint, { ...entry, clearedAt: now }, now);
     }
@@ -84,8 +84,8 @@
 }
 
 /**
- * Joins the knowledge of two routers; commutative, associative and idempotent, so that hints may
- * come late, twice or in any order.
+ * Merges the states of two routers. The merge is commutative, associative and idempotent, so hints may
+ * arrive late, twice or in any order.
  *
  * @example
  * state = mergeQuarantines(state, hintFromPeer, now);
@@ -104,7 +104,7 @@
 }
 
 /**
- * The newest entries, as a hint for peers of bounded size.
+ * Returns the newest entries, as a hint of bounded size for peers.
  *
  * @example
  * peer.shareHints(quarantineHint(state, 32));
@@ -118,7 +118,10 @@
 
 type Crash = Extract<QuarantineEvent, { type: 'crashed' }>;
 
-/** A crash of which this instance saw a part: whoever reports it, it counts once for each request. */
+/**
+ * Records a crash of which each instance saw only a part. It counts once per request, even if several
+ * instances report it.
+ */
 function recordShared(
   state: QuarantineState,
   { server, inFlight }: Crash,
@@ -155,8 +158,8 @@
 
 function provesCause(crashes: CrashRecord[]): boolean {
   const servers = new Set(crashes.map((crash) => crash.server));
-  // one crash on one server can be the server's fault; where the service has no other server, a
-  // row of crashes has to do, or the request would keep the service down for ever.
+  // a single crash can be the server's own fault. If the service has no other server, consecutive
+  // crashes are taken as proof; otherwise the request could keep the service down for ever.
   return servers.size >= 2 || crashes.length >= CRASHES_ON_ONE_SERVER;
 }
 
@@ -196,7 +199,7 @@
   return bound({ entries: { ...state.entries, [fingerprint]: entry } }, now);
 }
 
-/** Beyond the limit drops what no longer says anything, then the oldest suspects. */
+/** Above the maximum, removes entries without effect and then the oldest suspects. */
 function bound(state: QuarantineState, now: EpochMs): QuarantineState {
   if (Object.keys(state.entries).length <= MAX_ENTRIES) return state;
   const kept = Object.entries(state.entries).filter(([, entry]) => isUseful(entry, now));
@@ -207,13 +210,13 @@
   return { entries: Object.fromEntries(ranked.slice(0, ENTRIES_AFTER_BOUND)) };
 }
 
-/** A cleared entry is kept for a while: it overrides the older crash in a peer's late hint. */
+/** A cleared entry is kept for a while, to override an older crash in a delayed hint from a peer. */
 function isUseful(entry: QuarantineEntry, now: EpochMs): boolean {
   return isRemembered(entry, now) || now - lastSeen(entry) < SUSPECT_MS;
 }
 
 function isRemembered(entry: QuarantineEntry, now: EpochMs): boolean {
-  return isQuarantined(entry, now) || isOftenThere(entry, now);
+  return isQuarantined(entry, now) || hasManyCrashes(entry, now);
 }
 
 function lastSeen(entry: QuarantineEntry): EpochMs {
--- a/packages/core/src/runtime/routes/routeTable.ts
+++ b/packages/core/src/runtime/routes/routeTable.ts
@@ -1,4 +1,4 @@
-/** Finds routes, accounts and services of a configuration. */
+/** Looks up routes, accounts and services of a configuration. */
 
 import type { AccountId, ServiceName, Tokens } from '../../types/ids.js';
 import type {
@@ -9,7 +9,7 @@
 } from '../../types/routedConfig.js';
 
 /**
- * One version of the configuration, arranged for look-ups.
+ * Lookup tables for one version of the configuration.
  *
  * @example
  * const table = new RouteTable(config);
@@ -19,7 +19,7 @@
   readonly config: RoutedConfig;
   /** Prepaid tokens by account. */
   readonly prepaid: ReadonlyMap<AccountId, Tokens>;
-  /** By host, longest prefix first. */
+  /** Routes by host, longest prefix first. */
   readonly #routes = new Map<string, Route[]>();
   readonly #accounts = new Map<string, RoutedAccount>();
   readonly #services = new Map<ServiceName, RoutedService>();
@@ -44,7 +44,7 @@
     );
   }
 
-  /** The route of a host with the longest prefix of the path. */
+  /** The route of a host with the longest matching path prefix. */
   findRoute(host: string, path: string): Route | undefined {
     const routes = this.#routes.get(host.toLowerCase());
     return routes?.find((route) => path.startsWith(route.pathPrefix));
@@ -61,9 +61,9 @@
 }
 
 /**
- * Picks one of a route's services by weight.
+ * Picks one of the services of a route by weight.
  *
- * @param point from 0 (included) to 1 (excluded).
+ * @param point position in the total weight, from 0 (included) to 1 (excluded).
  */
 export function pickTarget(route: Route, point: number): ServiceName | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
--- a/packages/core/src/runtime/routing/reachability.ts
+++ b/packages/core/src/runtime/routing/reachability.ts
@@ -1,50 +1,50 @@
 /**
- * Whether a server can be reached at all from here. A partition or a loss of power shows as silence:
- * connections never open, and requests on open ones are never answered. Told from failures of the
- * server itself, because then most servers may be out of reach at once, and sending to them all the
- * same would only make callers wait.
+ * Tracks whether a server can be reached over the network. A partition or a power failure appears as
+ * silence: connections do not open, and requests on open connections get no answer. This is kept
+ * apart from failures of the server itself, because in a partition most servers may be unreachable
+ * at once, and requests sent to them would only make callers wait.
  */
 
 import type { EpochMs } from '../../types/ids.js';
 
-/** What is known of the way to one server. */
+/** Reachability state of one server. */
 export interface Reachability {
-  /** Silences in a row. */
+  /** Consecutive silences recorded. */
   silences: number;
-  /** Until when no request is sent there. */
+  /** Time until which no request is sent to it. */
   avoidUntil: EpochMs;
 }
 
-/** Pause after the first silence, in milliseconds; doubles with each further one. */
-const FIRST_PAUSE_MS = 800;
-/** Longest pause, in milliseconds; a partition that has healed is noticed within it. */
-const MAX_PAUSE_MS = 3_200;
-/** Milliseconds for which one request alone finds out whether the way is open again. */
+/** Time to avoid a server after the first silence, in milliseconds; doubles with each further one. */
+const MIN_AVOID_MS = 800;
+/** Maximum time, in milliseconds; the end of a partition is detected within it. */
+const MAX_AVOID_MS = 3_200;
+/** Milliseconds for which a single request tests whether the server can be reached again. */
 const PROBE_MS = 500;
 
-/** A server of which nothing bad is known. */
+/** Initial state: no silence recorded. */
 export const REACHABLE: Reachability = { silences: 0, avoidUntil: -Infinity };
 
-/** Whether requests may be sent. */
+/** Whether requests can be sent to the server now. */
 export function isReachable(state: Reachability, now: EpochMs): boolean {
   return now >= state.avoidUntil;
 }
 
 /**
- * Takes in that a connection did not open, or that nothing came on open ones.
+ * Records that a connection did not open, or that nothing was received on open connections.
  *
  * @example
  * reach = recordSilence(reach, now);
  */
 export function recordSilence(state: Reachability, now: EpochMs): Reachability {
-  // requests that were under way together see the same silence; it must not count for each.
+  // concurrent requests observe the same silence, which counts only once.
   if (!isReachable(state, now) && state.silences > 0) return state;
   const silences = state.silences + 1;
-  const pause = Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (silences - 1));
+  const pause = Math.min(MAX_AVOID_MS, MIN_AVOID_MS * 2 ** (silences - 1));
   return { silences, avoidUntil: now + pause };
 }
 
-/** Takes in that a request was sent; after a silence it goes alone until the server is heard. */
+/** Records that a request was sent; after a silence, others wait for its answer or `PROBE_MS`. */
 export function recordSent(state: Reachability, now: EpochMs): Reachability {
   if (state.silences === 0) return state;
   return { ...state, avoidUntil: Math.max(state.avoidUntil, now + PROBE_MS) };
--- a/packages/core/src/runtime/routing/retryBudget.ts
+++ b/packages/core/src/runtime/routing/retryBudget.ts
@@ -1,14 +1,14 @@
-/** Limit on retries as a part of all requests, so that retries never multiply an overload. */
+/** Limits retries to a fraction of all requests, so that retries do not amplify an overload. */
 
-/** Tuning of a budget. */
+/** Settings of a retry budget. */
 export interface RetryBudgetSettings {
   /** Retries earned by each first attempt. @default 0.2 */
   ratio: number;
-  /** Most retries that can be saved up. @default 20 */
+  /** Maximum number of retries that can be accumulated. @default 20 */
   max: number;
 }
 
-/** Retries that may be made now. */
+/** Current state of a retry budget. */
 export interface RetryBudget {
   settings: RetryBudgetSettings;
   tokens: number;
@@ -17,7 +17,7 @@
 const defaultSettings: RetryBudgetSettings = { ratio: 0.2, max: 20 };
 
 /**
- * A full budget.
+ * Creates a full budget.
  *
  * @example
  * let budget = createRetryBudget();
@@ -30,13 +30,13 @@
   return { settings: all, tokens: all.max };
 }
 
-/** Takes in a first attempt. */
+/** Adds the retries earned by one first attempt. */
 export function earnRetry(budget: RetryBudget): RetryBudget {
   const { ratio, max } = budget.settings;
   return { ...budget, tokens: Math.min(max, budget.tokens + ratio) };
 }
 
-/** Takes one retry out; `undefined` when none is left and the request has to be refused. */
+/** Consumes one retry; `undefined` if none is left and the request must be refused. */
 export function spendRetry(budget: RetryBudget): RetryBudget | undefined {
   return budget.tokens < 1 ? undefined : { ...budget, tokens: budget.tokens - 1 };
 }
--- a/packages/core/src/runtime/routing/sendShare.ts
+++ b/packages/core/src/runtime/routing/sendShare.ts
@@ -1,16 +1,16 @@
-/** One instance's part of the requests a second that a server takes from all instances together. */
+/** Paces the requests of one instance to its share of a server's rate limit. */
 
 import type { EpochMs } from '../../types/ids.js';
 
 /**
- * Milliseconds for which a send may be put off. Saved up for longer, the sends of many instances that had no
- * requests for the server would all be made in the first moments of a burst.
+ * Milliseconds after which an unused send slot expires. If slots lasted longer, many instances that had
+ * no requests for the server would use all their accumulated slots at the start of a burst.
  */
-const SAVED_MS = 2_000;
+const SLOT_EXPIRY_MS = 2_000;
 
 /**
- * Moments at regular intervals at which one request may be sent. Instances keep them without knowing of each
- * other's, so each begins at a random part of its first interval.
+ * Send slots at regular intervals, one request per slot. Instances do not coordinate their slots, so
+ * each starts at a random offset within its first interval.
  *
  * @example
  * const share = new SendShare(4_000, now, random);
@@ -18,7 +18,7 @@
  */
 export class SendShare {
   #intervalMs: number;
-  /** The first moment that was not used. */
+  /** Time of the first unused slot. */
   #dueAt: EpochMs;
 
   /** @param random a number from 0 (included) to 1 (excluded). */
@@ -31,28 +31,28 @@
     return this.#intervalMs;
   }
 
-  /** Takes a new interval; what of the present one has passed stays passed. */
+  /** Changes the interval; the elapsed fraction of the current interval is preserved. */
   setInterval(intervalMs: number, now: EpochMs): void {
-    this.#dropLapsed(now);
+    this.#dropExpired(now);
     const left = Math.max(0, this.#dueAt - now) / this.#intervalMs;
     if (left > 0) this.#dueAt = now + left * intervalMs;
     this.#intervalMs = intervalMs;
   }
 
-  /** When the next request may be sent; not after `now` if one may be sent at once. */
+  /** Time at which the next request may be sent; not later than `now` if one may be sent at once. */
   nextAt(now: EpochMs): EpochMs {
-    this.#dropLapsed(now);
+    this.#dropExpired(now);
     return this.#dueAt;
   }
 
-  /** Counts a request that is sent. */
+  /** Uses one slot for a request that is sent. */
   take(now: EpochMs): void {
-    this.#dropLapsed(now);
+    this.#dropExpired(now);
     this.#dueAt += this.#intervalMs;
   }
 
-  #dropLapsed(now: EpochMs): void {
-    const lapsedMs = now - SAVED_MS - this.#dueAt;
+  #dropExpired(now: EpochMs): void {
+    const lapsedMs = now - SLOT_EXPIRY_MS - this.#dueAt;
     if (lapsedMs <= 0) return;
     this.#dueAt += Math.ceil(lapsedMs / this.#intervalMs) * this.#intervalMs;
   }
--- a/packages/core/src/runtime/routing/serverChooser.ts
+++ b/packages/core/src/runtime/routing/serverChooser.ts
@@ -1,4 +1,4 @@
-/** Choice of one backend server among those with room. */
+/** Chooses one backend server among those with free capacity. */
 
 import type { Tokens } from '../../types/ids.js';
 import type { Candidate, CandidateQuery, RandomSource } from '../../types/placement.js';
@@ -6,18 +6,18 @@
 import { rendezvousRank } from '../../utils/hash.js';
 import { isLongPrompt } from './promptLength.js';
 
-/** What is known about a request when its server is chosen. */
+/** Properties of a request that affect the choice of its server. */
 export interface ChoiceRequest {
-  /** Hash of the first part of the prompt; requests with the same one share cached state. */
+  /** Hash of the first part of the prompt; requests with equal hashes share cached state. */
   prefixHash?: number;
-  /** Tokens of the prompt. */
+  /** Number of tokens in the prompt. */
   promptTokens?: Tokens;
 }
 
 export type ServerChooserName =
   'random' | 'round-robin' | 'least-loaded' | 'power-of-two' | 'prefix-affinity';
 
-/** A way to pick a server; gets at least one candidate. */
+/** Strategy that picks a server from at least one candidate. */
 export abstract class ServerChooser {
   abstract readonly name: ServerChooserName;
   abstract pick(
@@ -27,7 +27,7 @@
   ): Candidate;
 }
 
-/** Any server, with equal chance. */
+/** Picks any server with equal probability. */
 export class RandomChooser extends ServerChooser {
   override readonly name = 'random';
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** Each server in turn. */
+/** Picks each server in turn. */
 export class RoundRobinChooser extends ServerChooser {
   override readonly name = 'round-robin';
   #turn = 0;
@@ -51,7 +51,7 @@
   }
 }
 
-/** The server with the least load for its capacity. */
+/** Picks the server with the lowest load relative to its capacity. */
 export class LeastLoadedChooser extends ServerChooser {
   override readonly name = 'least-loaded';
 
@@ -60,7 +60,7 @@
   }
 }
 
-/** The less loaded of two random servers; does not herd when reports lag. */
+/** Picks the less loaded of two random servers; avoids herding when load reports are delayed. */
 export class PowerOfTwoChooser extends ServerChooser {
   override readonly name = 'power-of-two';
 
@@ -78,12 +78,12 @@
   }
 }
 
-/** Load, as a multiple of the mean, up to which a prefix stays at its server. */
+/** Maximum load, as a multiple of the mean, at which a prefix stays at its server. */
 const DEFAULT_LOAD_BOUND = 1.25;
 
 /**
- * The server that owns the prompt's prefix by rendezvous hashing, so that its cache is used, while
- * its load is at most `bound` times the mean; otherwise power of two.
+ * Picks the server that owns the prompt's prefix by rendezvous hashing, to use its cache. If the load of
+ * that server exceeds `bound` times the mean, falls back to power of two choices.
  */
 export class PrefixAffinityChooser extends ServerChooser {
   override readonly name = 'prefix-affinity';
@@ -106,7 +106,7 @@
       affinity(prefixHash, next) > affinity(prefixHash, best) ? next : best,
     );
     const mean = candidates.reduce((sum, next) => sum + utilisation(next), 0) / candidates.length;
-    // one request more is always fine: else an idle fleet would ignore its caches.
+    // always allow one more request: otherwise an idle fleet would ignore its caches.
     const limit = this.#bound * mean + 1 / owner.capacity;
     if (utilisation(owner) <= limit) return owner;
     return this.#fallback.pick(candidates, request, random);
@@ -114,8 +114,8 @@
 }
 
 /**
- * Chooses a server for a request: the own data centre first, others when it has no room.
- * `undefined` when no server has room; the request then waits in the admission queue.
+ * Chooses a server for a request: one of the local data centre, or another if those have no capacity.
+ * Returns `undefined` if no server has capacity; the request then waits in the admission queue.
  *
  * @example
  * const server = chooseServer(pool, chooser, { prefixHash }, { tried }, now, random);
@@ -129,8 +129,8 @@
   random: RandomSource,
 ): Candidate | undefined {
   const candidates = pool.candidates(query, now);
-  // a due send that waits for a request which hashing or load brings there lapses. A long prompt would
-  // cost most where its beginning is not cached.
+  // if a due send waited for a request that hashing or load would bring to this server, it would
+  // expire unused. Long prompts are excluded: they cost the most where their prefix is not cached.
   const owed = candidates.find((candidate) => candidate.owed);
   if (owed && !isLongPrompt(request)) return owed;
   const local = candidates.filter((candidate) => candidate.local);
--- a/packages/core/src/runtime/routing/serverEntry.ts
+++ b/packages/core/src/runtime/routing/serverEntry.ts
@@ -18,22 +18,22 @@
   recordAttempt,
 } from './serverHealth.js';
 
-/** State that a pool keeps about one server; not part of the public interface. */
+/** State that a pool keeps for one server; not part of the public interface. */
 export class ServerEntry {
   server: BackendServer;
   readonly idHash: number;
   readonly load = new LoadEstimate();
   readonly pace = new EnginePace();
   listed = true;
-  /** The server itself said that it leaves; the list cannot take this back. */
-  saidLeaving = false;
-  /** Number of the pool's attempt that was last sent here. */
+  /** The server itself reported that it is leaving; the list cannot revoke this. */
+  reportedLeaving = false;
+  /** Number of the pool's last attempt that was sent to this server. */
   lastAttempt = 0;
-  /** A request that has to run alone is in flight here. */
+  /** Whether a request that must run alone is in flight here. */
   exclusive = false;
   #health: ServerHealth = createServerHealth();
   #reach: Reachability = REACHABLE;
-  #heardAt: EpochMs = -Infinity;
+  #lastReceivedAt: EpochMs = -Infinity;
   /** Shared by all servers of the pool. */
   readonly #limit: ConcurrencyLimit;
 
@@ -45,35 +45,35 @@
   }
 
   get leaving(): boolean {
-    return this.saidLeaving || this.server.state === 'leaving' || !this.listed;
+    return this.reportedLeaving || this.server.state === 'leaving' || !this.listed;
   }
 
-  /** Whether requests to it arrive, as far as is known. */
+  /** Whether the server can be reached, as far as is known. */
   reachable(now: EpochMs): boolean {
     return isReachable(this.#reach, now);
   }
 
-  /** Something came from the server. */
-  heard(now: EpochMs): void {
-    this.#heardAt = now;
+  /** Records that something was received from the server. */
+  recordReceived(now: EpochMs): void {
+    this.#lastReceivedAt = now;
     this.#reach = REACHABLE;
   }
 
-  /** A request is being sent. */
-  sent(now: EpochMs): void {
+  /** Records that a request is being sent. */
+  recordSent(now: EpochMs): void {
     this.#reach = recordSent(this.#reach, now);
   }
 
-  /** A connection did not open, or nothing comes on open ones. */
-  silent(now: EpochMs): void {
+  /** Records that a connection did not open, or that nothing is received on open ones. */
+  recordSilence(now: EpochMs): void {
     this.#reach = recordSilence(this.#reach, now);
   }
 
-  /** Milliseconds for which requests have waited there without a word from the server. */
+  /** Milliseconds for which requests in flight have received nothing from the server. */
   silentMs(now: EpochMs): number {
     const waitingSince = this.load.oldestStart();
     if (waitingSince === undefined) return 0;
-    return now - Math.max(waitingSince, this.#heardAt);
+    return now - Math.max(waitingSince, this.#lastReceivedAt);
   }
 
   update(server: BackendServer, now: EpochMs): void {
@@ -81,7 +81,7 @@
     if (server.load) this.load.report(server.load, now);
   }
 
-  /** Requests that the server takes at once now; at least one, for a probe. */
+  /** Current concurrency limit of the server; at least one, so that it can be probed. */
   capacity(settings: HealthSettings, now: EpochMs): number {
     const share = this.share(settings, now);
     return Math.max(1, Math.floor(this.#limit.value * share));
@@ -93,11 +93,11 @@
 
   record(result: AttemptResult, settings: HealthSettings, now: EpochMs): void {
     const { end, firstTokenMs, targetMs } = result;
-    if (end === 'leaving') this.saidLeaving = true;
+    if (end === 'leaving') this.reportedLeaving = true;
     this.#health = recordAttempt(this.#health, end, firstTokenMs, settings, now);
     if (targetMs === undefined) return;
-    // judged by answers alone, a server that has slowed down so far that nothing ends in time would
-    // look fine: only its few quick answers would be seen, and its limit would stay too high.
+    // timeouts count as well. With answers alone, a server so slow that almost nothing ends in time
+    // would seem healthy: only its few fast answers would be counted, and its limit would stay too high.
     if (end === 'timeout') this.#limit.sample(Infinity, targetMs, now);
     if (end === 'ok' && firstTokenMs !== undefined) this.#limit.sample(firstTokenMs, targetMs, now);
   }
--- a/packages/core/src/runtime/routing/serverHealth.ts
+++ b/packages/core/src/runtime/routing/serverHealth.ts
@@ -1,25 +1,26 @@
-/** Health of one backend server as seen by one router: ejection after failures, slow return. */
+/** Health of one backend server as seen by one router: ejection after failures, gradual return. */
 
 import type { EpochMs } from '../../types/ids.js';
 
-/** How an attempt at a backend server ended, as far as the server's health is concerned. */
+/** Outcome of an attempt at a backend server, with regard to the server's health. */
 export type AttemptEnd = 'ok' | 'failed' | 'timeout' | 'leaving' | 'cancelled';
 
-/** Tuning of ejection and return. */
+/** Settings of ejection and return. */
 export interface HealthSettings {
-  /** Failures in a row that eject a server. @default 3 */
+  /** Consecutive failures after which a server is ejected. @default 3 */
   maxFailuresInRow: number;
-  /** Share of failed attempts (moving average) that ejects a server. @default 0.5 */
+  /** Fraction of failed attempts (moving average) at which a server is ejected. @default 0.5 */
   maxFailureShare: number;
-  /** First ejection in milliseconds; doubles with each further one. @default 2000 */
+  /** Duration of the first ejection, in milliseconds; doubles each time. @default 2000 */
   ejectMs: number;
-  /** Longest ejection in milliseconds. @default 30000 */
+  /** Maximum duration of an ejection, in milliseconds. @default 30000 */
   maxEjectMs: number;
-  /** Time in milliseconds over which a server returns to its full share. @default 10000 */
+  /** Time over which a server returns to its full capacity, in milliseconds. @default 10000 */
   rampMs: number;
   /**
-   * Multiple of the median first-token time above which a server is an outlier. Off by default: it
-   * showed no gain over choice by load, as one router sees too few answers of each server.
+   * Multiple of the median time to first token above which a server is an outlier. Disabled by
+   * default: it brought no gain over a choice by load, because one router sees too few answers of
+   * each server.
    * @default Infinity
    */
   slowFactor: number;
@@ -30,11 +31,11 @@
   failuresInRow: number;
   /** Moving average of failures, from 0 to 1. */
   failureShare: number;
-  /** Moving average of the first-token time in milliseconds; absent before the first sample. */
+  /** Moving average of the time to first token, in milliseconds; absent before the first sample. */
   latencyMs?: number;
   samples: number;
   ejections: number;
-  /** End of the present or last ejection. */
+  /** End of the current or last ejection. */
   ejectedUntil: EpochMs;
 }
 
@@ -49,17 +50,17 @@
 
 /** Weight of one sample in the moving averages. */
 const SAMPLE_WEIGHT = 0.1;
-/** Samples before an average is judged. */
+/** Minimum number of samples before an average is used. */
 const MIN_SAMPLES = 10;
-/** Share of its capacity with which a server returns. */
+/** Fraction of its capacity that a returning server gets at first. */
 const RAMP_START = 0.1;
-/** Servers that have to be measured before one can be called slow against the median. */
+/** Minimum number of measured servers for a comparison with the median. */
 const MIN_SERVERS_FOR_MEDIAN = 3;
-/** Time without ejection after which earlier ones are forgotten, in milliseconds. */
+/** Time without ejection after which earlier ejections are ignored, in milliseconds. */
 const FORGET_EJECTIONS_MS = 60_000;
 
 /**
- * Health of a server about which nothing is known.
+ * Creates the initial health of a server.
  *
  * @example
  * let health = createServerHealth();
@@ -69,8 +70,8 @@
 }
 
 /**
- * Takes in the end of one attempt. Only failures and timeouts count against a server: a caller that
- * hangs up and a planned leave say nothing about its health.
+ * Records the end of one attempt. Only failures and timeouts count against a server: a cancellation
+ * by the caller and a planned shutdown do not indicate poor health.
  *
  * @example
  * health = recordAttempt(health, 'timeout', undefined, settings, now);
@@ -100,10 +101,10 @@
   return next;
 }
 
-/** Takes a server out for a while that doubles with each ejection in a row. */
+/** Ejects a server; the duration doubles with each consecutive ejection. */
 export function eject(health: ServerHealth, settings: HealthSettings, now: EpochMs): ServerHealth {
-  // attempts that were in flight when the server failed end after the ejection; they are the same
-  // failure seen again, and must not lengthen it.
+  // attempts in flight when the server failed may end during the ejection. They belong to the same
+  // failure and must not extend the ejection.
   if (now < health.ejectedUntil) return health;
   const forgotten = now - health.ejectedUntil > FORGET_EJECTIONS_MS;
   const before = forgotten ? 0 : health.ejections;
@@ -117,7 +118,7 @@
   };
 }
 
-/** Share of its capacity that a server may use: 0 while ejected, then rising to 1. */
+/** Fraction of its capacity that a server may use: 0 while ejected, then rising to 1. */
 export function healthShare(health: ServerHealth, settings: HealthSettings, now: EpochMs): number {
   if (now < health.ejectedUntil) return 0;
   if (health.ejections === 0) return 1;
@@ -125,7 +126,7 @@
   return Math.min(1, RAMP_START + (1 - RAMP_START) * returned);
 }
 
-/** Whether a server answers far slower than the median of all measured servers. */
+/** Whether a server is slower than the median of all measured servers by the configured factor. */
 export function isSlowOutlier(
   health: ServerHealth,
   all: ServerHealth[],
--- a/packages/core/src/runtime/routing/serverLife.ts
+++ b/packages/core/src/runtime/routing/serverLife.ts
@@ -1,9 +1,10 @@
-/** Names one life of a server, from its start to its end. */
+/** Identifies one incarnation of a server, from its start to its end. */
 
 import type { ServerStart } from './serverNotices.js';
 
 /**
- * A server may start again under the id that it had; its next life has another name.
+ * Returns an id for one incarnation of a server. A server that restarts under the same id gets a new
+ * one.
  *
  * @example
  * lifeOf({ id: 'p1', bornAt: 1_700_000_000_000 }); // 'p1@1700000000000'
--- a/packages/core/src/runtime/routing/serverNotices.ts
+++ b/packages/core/src/runtime/routing/serverNotices.ts
@@ -1,67 +1,70 @@
-/** What backend servers say of themselves in their answers, as one instance has heard it. */
+/** Status that backend servers report in their answers, as received by one instance. */
 
 import type { EpochMs, ServerId } from '../../types/ids.js';
 import type { RandomSource } from '../../types/placement.js';
 import type { RateLimitView, ToldRateLimit } from './serverRateLimits.js';
 import type { ServerRateLimits } from './serverRateLimits.js';
 
-/** One start of a server; what it says holds for this start only. */
+/** One incarnation of a server; what it reports applies to this incarnation only. */
 export interface ServerStart {
   id: ServerId;
-  /** The server's own time of start; undefined where its entry does not tell. */
+  /** Start time by the server's own clock; undefined if its entry does not contain it. */
   bornAt?: number | undefined;
 }
 
-/** How long a server wants to be left alone, as an answer tells it. */
+/** Pause that a server requests in an answer, during which it accepts no requests. */
 export type ToldRest =
   | { type: 'none' }
   | { type: 'rest'; ms: number }
-  /** Something else than one number of seconds. */
+  /** The value is not a single number of seconds. */
   | { type: 'invalid'; text: string };
 
-/** What one answer says of its server. */
+/** Status of a server, as reported in one answer. */
 export interface ServerNotice {
   leaving: boolean;
   rest: ToldRest;
   rateLimit: ToldRateLimit;
 }
 
-/** How an answer changed what was known, for the log. */
+/** Change of the known status caused by an answer, for the log. `rests` means a requested pause. */
 export type NoticeChange = 'leaving' | 'rests' | 'rest-invalid' | 'back';
 
-/** State of one server at a time, for the log. */
+/** Status of one server at a given time, for the log. */
 export interface NoticeView extends Partial<RateLimitView> {
-  /** Milliseconds since it said that it leaves. */
+  /** Milliseconds since it reported that it is leaving. */
   leavingMs?: number | undefined;
-  /** Milliseconds that are left of its rest. */
+  /** Remaining milliseconds of its pause. */
   restMs?: number | undefined;
 }
 
-/** Longest rest that is taken at its word, in milliseconds; a longer one is most likely a mistake. */
-const MAX_REST_MS = 600_000;
-/** Part of a rest by which instances come back one after the other, and the most of it in milliseconds. */
-const REST_SPREAD = 0.25;
-const MAX_REST_SPREAD_MS = 1_000;
-/** Milliseconds for which one request alone finds out whether a rest is really over. */
-const TRY_MS = 500;
-/** Milliseconds after a rest after which an instance that has not sent anything since goes on as usual. */
-const FOUND_OUT_MS = 2_000;
+/** Maximum accepted pause, in milliseconds; a longer one is most likely a mistake. */
+const MAX_PAUSE_MS = 600_000;
+/**
+ * Jitter added to a pause, so that instances return one after the other: a fraction of the pause, and
+ * its maximum in milliseconds.
+ */
+const PAUSE_JITTER = 0.25;
+const MAX_PAUSE_JITTER_MS = 1_000;
+/** Milliseconds for which a single request tests whether a pause has really ended. */
+const PAUSE_TEST_MS = 500;
+/** Milliseconds after the end of a pause from which an instance sends without a test request. */
+const PAUSE_TESTED_MS = 2_000;
 
 interface KnownServer {
   bornAt: number | undefined;
   leavingSince: EpochMs | undefined;
-  rest: Rest | undefined;
+  rest: Pause | undefined;
 }
 
-interface Rest {
+interface Pause {
   until: EpochMs;
-  /** After the rest: until then a single request finds out whether it is really over. */
-  triedUntil: EpochMs;
+  /** After the pause: time until which a single request tests whether it has really ended. */
+  testedUntil: EpochMs;
 }
 
 /**
- * Words of servers, by start: whether one leaves (never taken back by the same start), until when it wants to
- * rest, and its rate limit.
+ * Status reported by servers, by incarnation: whether a server is leaving (which the same incarnation
+ * never revokes), until when it requests a pause, and its rate limit.
  *
  * @example
  * const notices = new ServerNotices(new ServerRateLimits(random), random);
@@ -78,7 +81,10 @@
     this.#random = random;
   }
 
-  /** Takes in what an answer says of leaving and rest; see {@link ServerRateLimits.tell} for the limit. */
+  /**
+   * Records what an answer reports about leaving and pauses. Rate limits are recorded separately, by
+   * {@link ServerRateLimits.tell}.
+   */
   tell(start: ServerStart, { leaving, rest }: ServerNotice, now: EpochMs): NoticeChange[] {
     const server = this.#of(start);
     const changes: NoticeChange[] = [];
@@ -88,7 +94,7 @@
     }
     if (rest.type === 'invalid') changes.push('rest-invalid');
     if (rest.type === 'rest' && this.#rest(server, rest.ms, now)) changes.push('rests');
-    // an answer to an earlier request says nothing of a rest that was asked for since.
+    // an answer received during a pause may belong to an earlier request and does not end the pause.
     if (rest.type === 'none' && server.rest && server.rest.until <= now) {
       server.rest = undefined;
       changes.push('back');
@@ -96,35 +102,35 @@
     return changes;
   }
 
-  /** Whether a server said that it leaves. */
+  /** Whether a server reported that it is leaving. */
   isLeaving(start: ServerStart): boolean {
     return this.#find(start)?.leavingSince !== undefined;
   }
 
-  /** Milliseconds that are left of a server's rest; 0 where it does not rest. */
+  /** Remaining milliseconds of a server's pause; 0 if there is none. */
   restMs(start: ServerStart, now: EpochMs): number {
     const rest = this.#find(start)?.rest;
-    return rest ? Math.max(0, rest.until - now, rest.triedUntil - now) : 0;
+    return rest ? Math.max(0, rest.until - now, rest.testedUntil - now) : 0;
   }
 
-  /** When this instance may send the next request to a server; never to one that leaves. */
+  /** When this instance may send the next request to a server; never to one that is leaving. */
   nextAt(start: ServerStart, now: EpochMs): EpochMs {
     if (this.isLeaving(start)) return Infinity;
     return Math.max(now + this.restMs(start, now), this.rateLimits.nextAt(start.id, now));
   }
 
-  /** Counts whatever is sent to a server: requests, further attempts and questions for its status. */
+  /** Records anything sent to a server: requests, retries and status probes. */
   sent(start: ServerStart, now: EpochMs): void {
     this.rateLimits.take(start.id, now);
     const server = this.#find(start);
     if (!server?.rest) return;
-    // an instance that returns late need not be held back: others have found out meanwhile.
-    const isLongOver = now - server.rest.until > FOUND_OUT_MS;
+    // an instance that returns late needs no test request: others have tested the server already.
+    const isLongOver = now - server.rest.until > PAUSE_TESTED_MS;
     if (isLongOver) server.rest = undefined;
-    else server.rest.triedUntil = now + TRY_MS;
+    else server.rest.testedUntil = now + PAUSE_TEST_MS;
   }
 
-  /** The state of a server; undefined where it said nothing. */
+  /** Status of a server; undefined if it has reported nothing. */
   view(start: ServerStart, now: EpochMs): NoticeView | undefined {
     const server = this.#find(start);
     const limit = this.rateLimits.view(start.id, now);
@@ -137,7 +143,7 @@
     };
   }
 
-  /** How many servers leave, and rest, by their own word. */
+  /** Number of servers that reported that they are leaving, and that requested a pause. */
   counts(now: EpochMs): { leaving: number; resting: number } {
     const servers = [...this.#servers.values()];
     return {
@@ -146,23 +152,23 @@
     };
   }
 
-  /** Forgets servers that are neither listed nor said anything that may still hold. */
+  /** Removes unlisted servers of which no reported status can still apply. */
   retain(listed: ReadonlySet<ServerId>, now: EpochMs): void {
     this.rateLimits.retain(listed, now);
     for (const [id, { leavingSince = -Infinity, rest }] of this.#servers) {
-      const isOver = Math.max(leavingSince + MAX_REST_MS, rest?.until ?? -Infinity) <= now;
+      const isOver = Math.max(leavingSince + MAX_PAUSE_MS, rest?.until ?? -Infinity) <= now;
       if (!listed.has(id) && isOver) this.#servers.delete(id);
     }
   }
 
-  /** Returns whether the rest is new or longer than what was known. */
+  /** Records a requested pause. Returns whether the server was not in a pause before. */
   #rest(server: KnownServer, ms: number, now: EpochMs): boolean {
     if (ms <= 0) return false;
-    const bounded = Math.min(ms, MAX_REST_MS);
-    const spreadMs = Math.min(REST_SPREAD * bounded, MAX_REST_SPREAD_MS);
+    const bounded = Math.min(ms, MAX_PAUSE_MS);
+    const spreadMs = Math.min(PAUSE_JITTER * bounded, MAX_PAUSE_JITTER_MS);
     const until = now + bounded + spreadMs * this.#random();
     const before = server.rest?.until ?? -Infinity;
-    server.rest = { until: Math.max(before, until), triedUntil: -Infinity };
+    server.rest = { until: Math.max(before, until), testedUntil: -Infinity };
     return before <= now;
   }
 
@@ -176,14 +182,14 @@
     if (found) return found;
     const created = { bornAt: start.bornAt, leavingSince: undefined, rest: undefined };
     const known = this.#servers.get(start.id);
-    // a late answer of an earlier start says nothing of the one that runs now.
+    // a late answer of an earlier incarnation does not apply to the current one.
     const isLate = known !== undefined && (start.bornAt ?? 0) < (known.bornAt ?? 0);
     if (!isLate) this.#servers.set(start.id, created);
     return created;
   }
 }
 
-/** Whether two times of start may be of the same start; an entry need not tell one. */
+/** Whether two start times can belong to the same incarnation; an undefined one matches any. */
 function isSameStart(a: number | undefined, b: number | undefined): boolean {
   return a === undefined || b === undefined || a === b;
 }
--- a/packages/core/src/runtime/routing/serverPool.ts
+++ b/packages/core/src/runtime/routing/serverPool.ts
@@ -1,6 +1,6 @@
 /**
- * Table of the backend servers of one service at one router. It decides which servers may get new
- * work; a {@link ServerChooser} picks among them.
+ * Table of the backend servers of one service at one router. It decides which servers can receive
+ * requests; a {@link ServerChooser} picks one of them.
  */
 
 import type { DataCentreId, EpochMs, ServerId } from '../../types/ids.js';
@@ -17,32 +17,32 @@
 import { ServerNotices } from './serverNotices.js';
 import { ServerRateLimits } from './serverRateLimits.js';
 
-/** Options of a pool. */
+/** Options of a server pool. */
 export interface ServerPoolOptions {
   /** Data centre of this router. */
   dataCentre: DataCentreId;
-  /** Requests that one server takes at once, as declared. */
+  /** Declared maximum of concurrent requests per server. */
   concurrencyPerServer: number;
   /** @default 'aimd' */
   limitKind?: ConcurrencyLimitKind;
-  /** Routers that share the servers of this data centre, self included. @default 1 */
+  /** Routers that share the servers of this data centre, including this one. @default 1 */
   sharers?: number;
   health?: Partial<HealthSettings>;
-  /** What servers have said of themselves. @default nothing */
+  /** Status reported by the servers themselves. @default none */
   notices?: ServerNotices;
 }
 
-/** How many places a request may use; see the admission's reserve. */
+/** Which slots a request may use; see `ImportanceReserve`. A slot is room for one request. */
 export interface PlacementRule {
-  /** Part of all places that must stay free, from 0 to 1. */
+  /** Fraction of all slots that must stay free, from 0 to 1. */
   keptFree: number;
-  /** Part of a server's places that may be used beyond its limit, from 0 to 1. */
+  /** Fraction of a server's slots that may be used beyond its limit, from 0 to 1. */
   extra: number;
 }
 
-/** Share of the pool that may be ejected at once. */
+/** Maximum fraction of the pool that can be ejected at once. */
 const MAX_EJECTED_SHARE = 0.5;
-/** How long a server is kept free for a request that has to run alone, in milliseconds. */
+/** How long a server is held for a request that must run alone, in milliseconds. */
 const HOLD_MS = 5_000;
 
 /**
@@ -61,7 +61,7 @@
   readonly #drained = new Set<ServerId>();
   readonly #options: ServerPoolOptions;
   readonly #health: HealthSettings;
-  /** One for all servers: each alone sees too few answers to adapt in time. */
+  /** Shared by all servers: one server alone has too few answers to adapt in time. */
   readonly #limit: ConcurrencyLimit;
   readonly #notices: ServerNotices;
   readonly #rateLimits: ServerRateLimits;
@@ -80,32 +80,33 @@
     this.#limit = createConcurrencyLimit(options.limitKind ?? 'aimd', bounds);
   }
 
-  /** Servers that are listed, or still have attempts in flight. */
+  /** Servers in the list. */
   get servers(): BackendServer[] {
     return [...this.#entries.values()].map((entry) => entry.server);
   }
 
-  /** Finds one server without listing all; `undefined` once it is gone from the list. */
+  /** Finds one server by id; `undefined` if it is not in the list. */
   server(id: ServerId): BackendServer | undefined {
     return this.#entries.get(id)?.server;
   }
 
-  /** Sets how many routers share the servers, self included. */
+  /** Sets how many routers share the servers, including this one. */
   setSharers(count: number): void {
     this.#sharers = Math.max(1, count);
   }
 
-  /** Restricts new work to some of the servers; `undefined` lifts the restriction. */
+  /** Restricts new requests to some of the servers; `undefined` removes the restriction. */
   setSubset(ids: ReadonlySet<ServerId> | undefined): void {
     this.#subset = ids;
   }
 
   /**
-   * Takes in a state of the instance list.
+   * Applies a new version of the server list.
    *
-   * The list lags. A server that said itself that it leaves stays out while the list still shows it
-   * as live; otherwise each refresh would send new work to a server that refuses it. The mark falls
-   * only once the list has the server gone, or shows another instance (another URL or time of start) under its id.
+   * The list is delayed. A server that reported that it is leaving gets no requests while the list
+   * still shows it as live; otherwise each refresh would send requests to a server that refuses them.
+   * The mark is cleared only when the list no longer contains the server, or shows another server
+   * process (another URL or start time) under its id.
    */
   applyList(servers: BackendServer[], now: EpochMs): void {
     const listed = new Set<ServerId>();
@@ -118,39 +119,39 @@
     }
     for (const [id, entry] of this.#entries) {
       if (listed.has(id)) continue;
-      // attempts in flight keep their own reference to the entry, so they still settle.
+      // attempts in flight hold their own reference to the entry, so they can still be settled.
       entry.listed = false;
       this.#entries.delete(id);
     }
   }
 
-  /** Marks a server that said itself that it leaves. */
+  /** Marks a server that reported that it is leaving. */
   markLeaving(id: ServerId): void {
     const entry = this.#entries.get(id);
-    if (entry) entry.saidLeaving = true;
+    if (entry) entry.reportedLeaving = true;
   }
 
-  /** Starts or ends an operator's drain of a server; holds whatever the list says. */
+  /** Starts or ends an operator's drain of a server; applies regardless of the list. */
   setDrained(id: ServerId, drained: boolean): void {
     if (drained) this.#drained.add(id);
     else this.#drained.delete(id);
   }
 
-  /** Takes in a load report. */
+  /** Applies a load report of a server. */
   reportLoad(id: ServerId, report: LoadReport, now: EpochMs): void {
     this.#entries.get(id)?.load.report(report, now);
   }
 
-  /** Takes in how fast a server made events in the quickest stretch of a stream. */
+  /** Records the milliseconds per event in the fastest section of a stream. */
   observePace(id: ServerId, quickestMs: number): void {
     this.#entries.get(id)?.pace.observe(quickestMs);
   }
 
   /**
-   * The server that most likely has read a prompt, as far as hashing tells: the first in rendezvous order
-   * of those that can be reached. Other instances have sent requests with the same prompt there.
+   * The server that most likely has a prompt cached: the first in rendezvous order among the reachable
+   * servers, as other instances send requests with the same prompt there.
    *
-   * @param except servers that are not asked for.
+   * @param except servers to leave out.
    */
   likelyHolder(
     prefixHash: number,
@@ -166,13 +167,13 @@
     return rest.reduce((best, next) => (rank(next) > rank(best) ? next : best), first).server;
   }
 
-  /** Whether a server can be asked for a copy of a prompt, as far as is known; not one that left the list. */
+  /** Whether a prompt can be copied from a server: it is listed, reachable and not leaving. */
   canCopyFrom(id: ServerId, now: EpochMs): boolean {
     const entry = this.#entries.get(id);
     return entry !== undefined && entry.reachable(now) && !this.#isLeaving(entry);
   }
 
-  /** Servers with room for one more request, own data centre or not. */
+  /** Servers of all data centres with capacity for one more request. */
   candidates(query: CandidateQuery, now: EpochMs): Candidate[] {
     this.#releaseExpiredHold(now);
     const open = this.#openEntries(now).filter((entry) => {
@@ -186,8 +187,8 @@
   }
 
   /**
-   * Whether a request can be placed under a rule. Places are counted in the own data centre if that
-   * has room at all, else in the others.
+   * Whether a request can be placed under a rule. Slots are counted in the local data centre if it has
+   * any candidate, otherwise in the others.
    */
   hasRoom(rule: PlacementRule, now: EpochMs): boolean {
     const candidates = this.candidates({ extra: rule.extra }, now);
@@ -196,24 +197,24 @@
     const local = candidates.filter((candidate) => candidate.local);
     const used = local.length > 0 ? local : candidates;
     const all = this.#openEntries(now).filter((entry) => this.#isLocal(entry) === local.length > 0);
-    const places = all.reduce((sum, entry) => sum + this.#places(entry, now), 0);
-    const free = used.reduce((sum, next) => sum + this.#freePlaces(next), 0);
+    const places = all.reduce((sum, entry) => sum + this.#slots(entry, now), 0);
+    const free = used.reduce((sum, next) => sum + this.#freeSlots(next), 0);
     return free > rule.keptFree * places;
   }
 
-  /** How many of the servers that are listed can be reached, as far as is known. */
+  /** Number of listed servers, and how many of them are reachable as far as is known. */
   countReachable(now: EpochMs): { reachable: number; listed: number } {
     const entries = [...this.#entries.values()];
     const reachable = entries.filter((entry) => entry.reachable(now)).length;
     return { reachable, listed: entries.length };
   }
 
-  /** Whether any server may get new work, with or without room; otherwise waiting is useless. */
+  /** Whether any server may receive requests, with or without capacity; if not, waiting is useless. */
   hasOpenServer(tried: ReadonlySet<ServerId> | undefined, now: EpochMs): boolean {
     return this.#openEntries(now).some((entry) => !tried?.has(entry.server.id));
   }
 
-  /** Whether any server may get a request now, by what limits it named; with or without room. */
+  /** Whether the rate limit of any server allows a request now, with or without capacity. */
   maySend(tried: ReadonlySet<ServerId> | undefined, now: EpochMs): boolean {
     return this.#openEntries(now).some((entry) => {
       return !tried?.has(entry.server.id) && this.#maySend(entry, now);
@@ -221,8 +222,8 @@
   }
 
   /**
-   * When servers take requests that all limit them or rest; undefined where some server takes them now, or
-   * none is there.
+   * When the next request can be sent while every server has a rate limit or has requested a pause;
+   * undefined if a server has neither, or if there is no server.
    */
   sendPace(now: EpochMs): RateLimitPace | undefined {
     const open = this.#openEntries(now);
@@ -231,16 +232,16 @@
     return restMs === undefined ? undefined : { firstMs: restMs, intervalMs: 0 };
   }
 
-  /** Milliseconds until the first server that rests is back; undefined where none rests. */
+  /** Milliseconds until the first requested pause ends; undefined if no server has requested one. */
   restEndsInMs(now: EpochMs): number | undefined {
     const rests = this.#stayingEntries(now).map(({ server }) => this.#notices.restMs(server, now));
     const resting = rests.filter((restMs) => restMs > 0);
     return resting.length === 0 ? undefined : Math.min(...resting);
   }
 
-  /** Requests that the open servers take at once. */
+  /** Number of slots of all open servers. */
   capacity(now: EpochMs): number {
-    return this.#openEntries(now).reduce((sum, entry) => sum + this.#places(entry, now), 0);
+    return this.#openEntries(now).reduce((sum, entry) => sum + this.#slots(entry, now), 0);
   }
 
   /** Own attempts in flight at a server. */
@@ -248,14 +249,14 @@
     return this.#entries.get(id)?.load.own ?? 0;
   }
 
-  /** Counts an attempt that is being sent; returns its number for {@link settle}. */
+  /** Records an attempt that is being sent; returns its number for {@link settle}. */
   dispatch(id: ServerId, now: EpochMs, exclusive = false): number {
     const attempt = this.#nextAttempt;
     this.#nextAttempt += 1;
     const entry = this.#entries.get(id);
     if (!entry) return attempt;
     entry.load.start(attempt, now);
-    entry.sent(now);
+    entry.recordSent(now);
     entry.lastAttempt = attempt;
     this.#notices.sent(entry.server, now);
     this.#attempts.set(attempt, entry);
@@ -266,33 +267,33 @@
     return attempt;
   }
 
-  /** Something of an answer came; the server is there. */
+  /** Records that part of an answer arrived, so the server is reachable. */
   heard(attempt: number, now: EpochMs): void {
-    this.#attempts.get(attempt)?.heard(now);
+    this.#attempts.get(attempt)?.recordReceived(now);
   }
 
-  /** The connection for an attempt did not open. */
+  /** Records that the connection for an attempt did not open. */
   unreachable(attempt: number, now: EpochMs): void {
-    this.#attempts.get(attempt)?.silent(now);
+    this.#attempts.get(attempt)?.recordSilence(now);
   }
 
   /**
-   * Avoids servers at which requests wait while nothing at all comes from them. Without it a server
-   * that lost power would get new requests until the first of them reached its time limit.
+   * Avoids servers that have requests in flight but have sent nothing for `silentMs`. Otherwise a server
+   * that lost power would get new requests until the first of them reached its timeout.
    *
-   * @returns ids of the servers that are avoided from now on.
+   * @returns ids of the servers that are newly avoided.
    */
   avoidSilent(silentMs: number, now: EpochMs): ServerId[] {
     const found: ServerId[] = [];
     for (const entry of this.#entries.values()) {
       if (!entry.reachable(now) || entry.silentMs(now) < silentMs) continue;
-      entry.silent(now);
+      entry.recordSilence(now);
       found.push(entry.server.id);
     }
     return found;
   }
 
-  /** Takes in the end of an attempt; a second call for the same attempt does nothing. */
+  /** Records the end of an attempt; a second call for the same attempt has no effect. */
   settle(attempt: number, result: AttemptResult, now: EpochMs): void {
     const entry = this.#attempts.get(attempt);
     if (!entry) return;
@@ -303,7 +304,7 @@
     if (this.#isSlow(entry)) entry.eject(this.#health, now);
   }
 
-  /** Whether it leaves by the list or by its own word, which outlasts its entry. */
+  /** Whether a server is leaving, by the list or by its own report; the report outlives its entry. */
   #isLeaving({ leaving, server }: ServerEntry): boolean {
     return leaving || this.#notices.isLeaving(server);
   }
@@ -312,18 +313,18 @@
     return this.#rateLimits.nextAt(server.id, now) <= now;
   }
 
-  /** Places that a server has; where it limits requests a second, the one whose request is due. */
-  #places(entry: ServerEntry, now: EpochMs): number {
+  /** Slots of a server; with a rate limit, 1 if a request may be sent now and 0 otherwise. */
+  #slots(entry: ServerEntry, now: EpochMs): number {
     if (!this.#rateLimits.has(entry.server.id)) return entry.capacity(this.#health, now);
     return this.#maySend(entry, now) ? 1 : 0;
   }
 
-  #freePlaces({ id, capacity, load }: Candidate): number {
+  #freeSlots({ id, capacity, load }: Candidate): number {
     return this.#rateLimits.has(id) ? 1 : Math.max(0, capacity - load);
   }
 
-  /** Whether the others got as many requests since a server's last one as if all shared alike. */
-  #hadNoTurn({ lastAttempt }: ServerEntry): boolean {
+  /** Whether the other servers have received at least an equal share since its last request. */
+  #isBelowFairShare({ lastAttempt }: ServerEntry): boolean {
     return this.#nextAttempt - 1 - lastAttempt >= this.#entries.size;
   }
 
@@ -331,11 +332,11 @@
     return new ServerEntry(server, this.#limit, now);
   }
 
-  /** Servers in reach that are not leaving or drained. */
+  /** Reachable servers that are neither leaving nor drained. */
   #stayingEntries(now: EpochMs): ServerEntry[] {
-    // out of reach is a fact, not a suspicion: with most servers behind a partition the few that
-    // remain have to do, and with none at all the caller is told at once. Each server is tried again
-    // by a single request after a pause.
+    // unreachable servers are always excluded, unlike ejected ones. If most servers are behind a
+    // partition, the few others get all requests; if none is reachable, the caller is refused at once.
+    // After a delay, a single request tests each unreachable server again.
     return [...this.#entries.values()].filter(
       (entry) =>
         !this.#isLeaving(entry) &&
@@ -345,14 +346,14 @@
     );
   }
 
-  /** Servers that are not leaving, drained, ejected or resting. */
+  /** Servers that are not leaving, drained, ejected or in a requested pause. */
   #openEntries(now: EpochMs): ServerEntry[] {
     const reachable = this.#stayingEntries(now).filter(({ server }) => {
       return this.#notices.restMs(server, now) === 0;
     });
     const healthy = reachable.filter((entry) => entry.share(this.#health, now) > 0);
-    // when most servers look bad the fault is more likely the network or the requests; ejecting
-    // them would put all load on the few that remain and bring these down too.
+    // if most servers seem unhealthy, the network or the requests are more likely at fault. Ejecting
+    // them would move all load to the few others and overload these as well.
     const tooFew = healthy.length < reachable.length * (1 - MAX_EJECTED_SHARE);
     return tooFew ? reachable : healthy;
   }
@@ -366,9 +367,9 @@
     return [];
   }
 
-  /** Keeps the least loaded server free of new work until the exclusive request can have it. */
+  /** Reserves the least loaded server for the exclusive request: it gets no other requests. */
   #hold(open: ServerEntry[], now: EpochMs): void {
-    // never the only server: innocent requests would wait for a request that may crash it.
+    // never the only server: other requests would wait for a request that may crash it.
     if (open.length < 2) return;
     const local = open.filter((entry) => this.#isLocal(entry));
     const among = local.length > 0 ? local : open;
@@ -384,8 +385,8 @@
   #toCandidate(entry: ServerEntry, now: EpochMs, extra = 0): Candidate {
     const capacity = entry.capacity(this.#health, now);
     const load = entry.load.total(now);
-    // reports lag, so a router that refills each free place at once would keep its neighbour, which
-    // sees the server as full in every report, waiting for ever. A fair part is always its own.
+    // load reports are delayed. If one router refilled each free slot at once, another router would
+    // see a full server in every report and wait for ever. So each router may always use a fair share.
     const fairPart = this.#isLocal(entry) ? Math.ceil(capacity / this.#sharers) : 0;
     return {
       id: entry.server.id,
@@ -395,7 +396,7 @@
       load,
       capacity,
       eventMs: entry.pace.eventMs,
-      owed: this.#rateLimits.has(entry.server.id) && this.#hadNoTurn(entry),
+      owed: this.#rateLimits.has(entry.server.id) && this.#isBelowFairShare(entry),
       hasRoom: load < capacity * (1 + extra) || entry.load.own < fairPart,
     };
   }
--- a/packages/core/src/runtime/routing/serverRateLimits.ts
+++ b/packages/core/src/runtime/routing/serverRateLimits.ts
@@ -1,50 +1,56 @@
-/** Rate limits that backend servers name in their answers, as one instance has heard them. */
+/** Rate limits that backend servers report in their answers, as received by one instance. */
 
 import type { EpochMs, ServerId } from '../../types/ids.js';
 import type { RandomSource } from '../../types/placement.js';
 import { sum } from '../../utils/sum.js';
 import { SendShare } from './sendShare.js';
 
-/** What an answer says about its server's rate limit. */
+/** Rate limit of a server, as reported in one answer. */
 export type ToldRateLimit =
   | { type: 'none' }
-  /** Requests a second that the server takes from all instances together. */
+  /** Requests per second that the server accepts from all instances together. */
   | { type: 'limit'; perSecond: number }
-  /** Something else than one positive decimal number. */
+  /** The value is not a single positive decimal number. */
   | { type: 'invalid'; text: string };
 
-/** How an answer changed what was known. */
+/** Change of the known limit caused by an answer. */
 export type RateLimitChange =
   | 'named'
   | 'changed'
   | 'ended'
-  /** It cannot be read, so the limit stays as it was; told once for each server. */
+  /**
+   * The value cannot be parsed, so the limit is unchanged; reported once until the server sends a valid
+   * value.
+   */
   | 'invalid';
 
-/** State of one server's limit at a time, for the log. */
+/** Limit of one server at a given time, for the log. */
 export interface RateLimitView {
   limitPerSecond: number;
-  /** Milliseconds since an answer named it. */
+  /** Milliseconds since an answer last reported it. */
   limitAgeMs: number;
-  /** Instances that share it, self included; undefined while their number is not known. */
+  /** Instances that share it, including this one; undefined while their number is unknown. */
   limitSharers: number | undefined;
-  /** Milliseconds between two requests of this instance. */
+  /** Milliseconds between two requests from this instance. */
   limitIntervalMs: number;
 }
 
-/** How requests go out while all servers limit them, in milliseconds. */
+/** Pace of requests while all servers have rate limits, in milliseconds. */
 export interface RateLimitPace {
-  /** Until the next one may be sent. */
+  /** Time until the next request may be sent. */
   firstMs: number;
-  /** Between two, on average. */
+  /** Average time between two requests. */
   intervalMs: number;
 }
 
 const MS_PER_SECOND = 1_000;
-/** Milliseconds; the entry of a server that lives may be missing from the list for some seconds. */
+/**
+ * Age at which the limit of an unlisted server is removed, in milliseconds. The entry of a running
+ * server may be missing from the list for some seconds.
+ */
 const FORGET_MS = 600_000;
 
-/** One server's limit. */
+/** Limit of one server. */
 interface KnownLimit {
   perSecond: number;
   heardAt: EpochMs;
@@ -52,17 +58,18 @@
 }
 
 /**
- * Part of a limit that all instances use together. The sum over some seconds swings around its mean, as no
- * instance knows when the others send, and some may have joined that the count does not show yet.
+ * Fraction of a limit that all instances use together. Over a few seconds the total rate varies around
+ * its mean, because no instance knows when the others send. New instances may also be missing from
+ * the count for a while.
  */
-const USED_PART = 0.6;
-/** Instances that are reckoned with while their number is not known. */
-const UNKNOWN_SHARERS = 100;
+const USED_FRACTION = 0.6;
+/** Number of instances assumed while the real number is unknown. */
+const DEFAULT_SHARERS = 100;
 
 /**
- * Limits by server. A limit holds for all instances together, and each uses an equal part of it, so the sum
- * holds also while none sees another. An instance goes on sending at its part, so that an answer
- * tells it when the limit has ended.
+ * Rate limits by server. A limit applies to all instances together, and each uses an equal share of it,
+ * so the total stays within the limit even if instances cannot reach each other. An instance
+ * continues to send at its share, so that an answer shows when the limit has ended.
  *
  * @example
  * const limits = new ServerRateLimits(Math.random);
@@ -73,7 +80,7 @@
  */
 export class ServerRateLimits {
   readonly #limits = new Map<ServerId, KnownLimit>();
-  /** Servers whose last word could not be read. */
+  /** Servers whose last reported limit could not be parsed. */
   readonly #invalid = new Set<ServerId>();
   readonly #random: RandomSource;
   #sharers: number | undefined;
@@ -82,23 +89,23 @@
     this.#random = random;
   }
 
-  /** Servers that name a limit. */
+  /** Number of servers with a rate limit. */
   get size(): number {
     return this.#limits.size;
   }
 
-  /** Requests a second that all these servers take together. */
+  /** Requests per second that all these servers accept together. */
   get perSecond(): number {
     return sum([...this.#limits.values()].map(({ perSecond }) => perSecond));
   }
 
-  /** Requests a second that this instance sends to them at most. */
+  /** Maximum requests per second that this instance sends to them. */
   get ownPerSecond(): number {
     const shares = [...this.#limits.values()].map(({ share }) => MS_PER_SECOND / share.intervalMs);
     return sum(shares);
   }
 
-  /** Sets how many instances share each limit, self included. */
+  /** Sets how many instances share each limit, including this one. */
   setSharers(count: number, now: EpochMs): void {
     this.#sharers = Math.max(1, count);
     for (const { share, perSecond } of this.#limits.values()) {
@@ -106,7 +113,7 @@
     }
   }
 
-  /** Takes in what an answer of a server says. */
+  /** Records what an answer of a server reports. */
   tell(id: ServerId, told: ToldRateLimit, now: EpochMs): RateLimitChange | undefined {
     if (told.type === 'invalid') {
       const isNew = !this.#invalid.has(id);
@@ -118,17 +125,19 @@
     return this.#learn(id, told.perSecond, now);
   }
 
-  /** Whether a server names a limit. */
+  /** Whether a server has a rate limit. */
   has(id: ServerId): boolean {
     return this.#limits.has(id);
   }
 
-  /** When this instance may send the next request to a server; not after `now` if it may at once. */
+  /** When this instance may send the next request; not later than `now` if at once. */
   nextAt(id: ServerId, now: EpochMs): EpochMs {
     return this.#limits.get(id)?.share.nextAt(now) ?? now;
   }
 
-  /** How requests go out to servers that all name a limit; undefined where one does not, or none is given. */
+  /**
+   * Combined pace of servers that all have a limit; undefined if one has none, or if `ids` is empty.
+   */
   pace(ids: readonly ServerId[], now: EpochMs): RateLimitPace | undefined {
     const shares = ids.flatMap((id) => this.#limits.get(id)?.share ?? []);
     if (shares.length === 0 || shares.length < ids.length) return undefined;
@@ -137,12 +146,12 @@
     return { firstMs: Math.max(0, firstAt - now), intervalMs: 1 / perMs };
   }
 
-  /** Counts whatever is sent to a server: requests, further attempts and questions for its status. */
+  /** Records anything sent to a server: requests, retries and status probes. */
   take(id: ServerId, now: EpochMs): void {
     this.#limits.get(id)?.share.take(now);
   }
 
-  /** The limit of a server; undefined where it names none. */
+  /** Limit of a server; undefined if it has none. */
   view(id: ServerId, now: EpochMs): RateLimitView | undefined {
     const known = this.#limits.get(id);
     if (!known) return undefined;
@@ -154,7 +163,7 @@
     };
   }
 
-  /** Forgets servers that are neither listed nor were heard for long. */
+  /** Removes unlisted servers that have not reported a limit for a long time. */
   retain(listed: ReadonlySet<ServerId>, now: EpochMs): void {
     for (const id of this.#invalid) if (!listed.has(id)) this.#invalid.delete(id);
     for (const [id, { heardAt }] of this.#limits) {
@@ -178,6 +187,6 @@
   }
 
   #intervalMs(perSecond: number): number {
-    return (MS_PER_SECOND * (this.#sharers ?? UNKNOWN_SHARERS)) / (USED_PART * perSecond);
+    return (MS_PER_SECOND * (this.#sharers ?? DEFAULT_SHARERS)) / (USED_FRACTION * perSecond);
   }
 }
--- a/packages/core/src/runtime/routing/serverSubset.ts
+++ b/packages/core/src/runtime/routing/serverSubset.ts
@@ -1,21 +1,21 @@
-/** Which servers one router uses when there are too many for each router to use all. */
+/** Chooses the subset of servers that one router uses if there are too many for it to use all. */
 
 import type { ServerId } from '../../types/ids.js';
 import { hash32 } from '../../utils/hash.js';
 
 /**
- * Picks one router's servers. Every router computes the same rounds, so that each server is used by
- * almost equally many routers.
+ * Picks the servers of one router. All routers compute the same rounds, so each server is used by almost
+ * the same number of routers.
  *
  * @example
  * pool.setSubset(chooseSubset({ routers, self, servers, size: 20 }));
  */
 export function chooseSubset(options: {
-  /** Ids of all routers that share the servers, self included. */
+  /** Ids of all routers that share the servers, including this one. */
   routers: readonly string[];
   self: string;
   servers: readonly ServerId[];
-  /** Servers per router. */
+  /** Number of servers per router. */
   size: number;
 }): ReadonlySet<ServerId> {
   const { servers, size } = options;
--- a/packages/core/src/runtime/streams/eventFrames.ts
+++ b/packages/core/src/runtime/streams/eventFrames.ts
@@ -1,10 +1,10 @@
 /**
- * Cuts the bytes of an event stream at the ends of whole events. Bytes are passed on unchanged; an
- * event that broke off in the middle is never passed on, so that a stream which is resumed at
- * another server has neither a gap nor half an event twice.
+ * Splits the bytes of an event stream at event boundaries. Bytes are forwarded unchanged. An incomplete
+ * event is never forwarded, so a stream that is resumed at another server has neither gaps nor
+ * duplicated parts of events.
  */
 
-/** Whole events out of one or more chunks. */
+/** Complete events from one or more chunks. */
 export interface EventBytes {
   bytes: Buffer;
   events: number;
@@ -15,7 +15,7 @@
 const NOTHING = Buffer.alloc(0);
 
 /**
- * Frames of one stream.
+ * Splits one stream into complete events.
  *
  * @example
  * const whole = frames.push(chunk);
@@ -26,22 +26,22 @@
   #lastId: string | undefined;
   #total = 0;
 
-  /** Id of the last whole event that had one. */
+  /** Id of the last complete event that had one. */
   get lastId(): string | undefined {
     return this.#lastId;
   }
 
-  /** Whole events so far. */
+  /** Number of complete events so far. */
   get total(): number {
     return this.#total;
   }
 
-  /** Whether bytes of an event wait for its end. */
+  /** Whether bytes of an incomplete event are buffered. */
   get isOpen(): boolean {
     return this.#rest.length > 0;
   }
 
-  /** Adds a chunk; returns the whole events that are complete now. */
+  /** Adds a chunk; returns the events that are complete now. */
   push(chunk: Buffer): EventBytes {
     const data = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     let end = 0;
@@ -58,7 +58,7 @@
     return { bytes: data.subarray(0, end), events };
   }
 
-  /** Forgets half an event of a server that broke off. */
+  /** Discards the incomplete event of a connection that ended early. */
   dropOpen(): void {
     this.#rest = NOTHING;
   }
@@ -69,7 +69,7 @@
   }
 }
 
-/** Index behind the empty line that ends an event, or -1. */
+/** Index after the empty line that ends an event, or -1. */
 function endOfEvent(data: Buffer, from: number): number {
   for (let at = data.indexOf(LINE_FEED, from); at >= 0; at = data.indexOf(LINE_FEED, at + 1)) {
     if (data[at + 1] === LINE_FEED) return at + 2;
--- a/packages/core/src/runtime/streams/eventTiming.ts
+++ b/packages/core/src/runtime/streams/eventTiming.ts
@@ -1,15 +1,15 @@
-/** When the events of one stream came: its longest pause, and its quickest stretch. */
+/** Measures the event timing of one stream: its longest pause and its fastest section. */
 
 import type { EpochMs } from '../../types/ids.js';
 
 /**
- * Batches of events whose mean spacing counts as one stretch. A single gap may be short only because
- * the network held an event back and then delivered two at once.
+ * Number of batches over which the spacing is averaged. A single gap may be short only because the
+ * network delayed an event and then delivered two at once.
  */
-const STRETCH_BATCHES = 4;
+const SECTION_BATCHES = 4;
 
 /**
- * Spacing of a stream's events.
+ * Spacing of the events of a stream.
  *
  * @example
  * timing.observe(3, now);
@@ -20,11 +20,11 @@
   #lastAt: EpochMs | undefined;
   #longestPauseMs = 0;
   #quickestMs: number | undefined;
-  #stretchFrom: EpochMs = 0;
-  #stretchEvents = 0;
-  #stretchBatches = 0;
+  #sectionFrom: EpochMs = 0;
+  #sectionEvents = 0;
+  #sectionBatches = 0;
 
-  /** When the first event came; undefined before. */
+  /** When the first event arrived; undefined before. */
   get firstAt(): EpochMs | undefined {
     return this.#firstAt;
   }
@@ -34,14 +34,14 @@
     return this.#longestPauseMs;
   }
 
-  /** Milliseconds for an event in the quickest stretch; undefined while no stretch was whole. */
+  /** Milliseconds per event in the fastest section; undefined before the first complete section. */
   get quickestMs(): number | undefined {
     return this.#quickestMs;
   }
 
-  /** Takes in a batch of at least one event. */
+  /** Records a batch of at least one event. */
   observe(events: number, now: EpochMs): void {
-    if (this.#lastAt === undefined) this.#startStretch(now);
+    if (this.#lastAt === undefined) this.#startSection(now);
     else this.#extend(events, now);
     this.#firstAt ??= now;
     this.#longestPauseMs = Math.max(this.#longestPauseMs, now - (this.#lastAt ?? now));
@@ -49,17 +49,17 @@
   }
 
   #extend(events: number, now: EpochMs): void {
-    this.#stretchEvents += events;
-    this.#stretchBatches += 1;
-    if (this.#stretchBatches < STRETCH_BATCHES) return;
-    const spacing = (now - this.#stretchFrom) / this.#stretchEvents;
+    this.#sectionEvents += events;
+    this.#sectionBatches += 1;
+    if (this.#sectionBatches < SECTION_BATCHES) return;
+    const spacing = (now - this.#sectionFrom) / this.#sectionEvents;
     this.#quickestMs = Math.min(this.#quickestMs ?? spacing, spacing);
-    this.#startStretch(now);
+    this.#startSection(now);
   }
 
-  #startStretch(now: EpochMs): void {
-    this.#stretchFrom = now;
-    this.#stretchEvents = 0;
-    this.#stretchBatches = 0;
+  #startSection(now: EpochMs): void {
+    this.#sectionFrom = now;
+    this.#sectionEvents = 0;
+    this.#sectionBatches = 0;
   }
 }
