--- a/packages/core/src/runtime/news/newsLog.ts
+++ b/packages/core/src/runtime/news/newsLog.ts
@@ -1,7 +1,7 @@
 /** Gossip log of one instance: the facts that it knows and can send to peers that miss them. */
 
 import type { EpochMs, IncarnationId } from '../../types/ids.js';
-import type { DatedNews, FleetNews, NewsItem, NewsVersions } from '../../types/news.js';
+import type { DatedNews, FleetNews, GossipItem, NewsVersions } from '../../types/news.js';
 
 /** Maximum number of facts kept; above it the oldest are removed. */
 const MAX_KEPT = 512;
@@ -10,14 +10,14 @@
 /** Maximum number of origins; above it, origins without kept facts are removed. */
 const MAX_ORIGINS = 512;
 
-interface KeptNews extends DatedNews {
+interface KeptFact extends DatedNews {
   seq: number;
 }
 
 interface Origin {
   last: number;
   /** Ordered by sequence number, without gaps. */
-  kept: KeptNews[];
+  kept: KeptFact[];
 }
 
 /**
@@ -59,7 +59,7 @@
   }
 
   /** Adds facts from another instance; returns those that were new, in the order received. */
-  take(items: readonly NewsItem[], now: EpochMs): DatedNews[] {
+  take(items: readonly GossipItem[], now: EpochMs): DatedNews[] {
     return items.flatMap(({ origin, seq, ageMs, news }) => {
       if (seq <= this.#originOf(origin).last) return [];
       const at = now - ageMs;
@@ -69,7 +69,7 @@
   }
 
   /** Facts that an instance with the given version vector misses, oldest first for each origin. */
-  lackedBy(known: NewsVersions, now: EpochMs): NewsItem[] {
+  lackedBy(known: NewsVersions, now: EpochMs): GossipItem[] {
     const lacked = [...this.#origins].flatMap(([origin, { kept }]) => {
       const after = known[origin] ?? 0;
       return kept
@@ -83,7 +83,7 @@
     return this.#origins.get(name) ?? { last: 0, kept: [] };
   }
 
-  #keep(name: IncarnationId, news: KeptNews, now: EpochMs): void {
+  #keep(name: IncarnationId, news: KeptFact, now: EpochMs): void {
     const origin = this.#originOf(name);
     origin.kept.push(news);
     origin.last = news.seq;
--- a/packages/core/src/runtime/routing/sendShare.ts
+++ b/packages/core/src/runtime/routing/sendShare.ts
@@ -16,7 +16,7 @@
  * const share = new SendShare(4_000, now, random);
  * if (share.nextAt(now) <= now) share.take(now);
  */
-export class SendShare {
+export class SendPacer {
   #intervalMs: number;
   /** Time of the first unused slot. */
   #dueAt: EpochMs;
--- a/packages/core/src/runtime/routing/serverRateLimits.ts
+++ b/packages/core/src/runtime/routing/serverRateLimits.ts
@@ -3,7 +3,7 @@
 import type { EpochMs, ServerId } from '../../types/ids.js';
 import type { RandomSource } from '../../types/placement.js';
 import { sum } from '../../utils/sum.js';
-import { SendShare } from './sendShare.js';
+import { SendPacer } from './sendShare.js';
 
 /** Rate limit of a server, as reported in one answer. */
 export type ToldRateLimit =
@@ -54,7 +54,7 @@
 interface KnownLimit {
   perSecond: number;
   heardAt: EpochMs;
-  share: SendShare;
+  pacer: SendPacer;
 }
 
 /**
@@ -101,14 +101,16 @@
 
   /** Maximum requests per second that this instance sends to them. */
   get ownPerSecond(): number {
-    const shares = [...this.#limits.values()].map(({ share }) => MS_PER_SECOND / share.intervalMs);
+    const shares = [...this.#limits.values()].map(
+      ({ pacer: share }) => MS_PER_SECOND / share.intervalMs,
+    );
     return sum(shares);
   }
 
   /** Sets how many instances share each limit, including this one. */
   setSharers(count: number, now: EpochMs): void {
     this.#sharers = Math.max(1, count);
-    for (const { share, perSecond } of this.#limits.values()) {
+    for (const { pacer: share, perSecond } of this.#limits.values()) {
       share.setInterval(this.#intervalMs(perSecond), now);
     }
   }
@@ -132,14 +134,14 @@
 
   /** When this instance may send the next request; not later than `now` if at once. */
   nextAt(id: ServerId, now: EpochMs): EpochMs {
-    return this.#limits.get(id)?.share.nextAt(now) ?? now;
+    return this.#limits.get(id)?.pacer.nextAt(now) ?? now;
   }
 
   /**
    * Combined pace of servers that all have a limit; undefined if one has none, or if `ids` is empty.
    */
   pace(ids: readonly ServerId[], now: EpochMs): RateLimitPace | undefined {
-    const shares = ids.flatMap((id) => this.#limits.get(id)?.share ?? []);
+    const shares = ids.flatMap((id) => this.#limits.get(id)?.pacer ?? []);
     if (shares.length === 0 || shares.length < ids.length) return undefined;
     const firstAt = Math.min(...shares.map((share) => share.nextAt(now)));
     const perMs = sum(shares.map(({ intervalMs }) => 1 / intervalMs));
@@ -148,7 +150,7 @@
 
   /** Records anything sent to a server: requests, retries and status probes. */
   take(id: ServerId, now: EpochMs): void {
-    this.#limits.get(id)?.share.take(now);
+    this.#limits.get(id)?.pacer.take(now);
   }
 
   /** Limit of a server; undefined if it has none. */
@@ -159,7 +161,7 @@
       limitPerSecond: known.perSecond,
       limitAgeMs: Math.round(now - known.heardAt),
       limitSharers: this.#sharers,
-      limitIntervalMs: Math.round(known.share.intervalMs),
+      limitIntervalMs: Math.round(known.pacer.intervalMs),
     };
   }
 
@@ -175,14 +177,14 @@
     const known = this.#limits.get(id);
     const intervalMs = this.#intervalMs(perSecond);
     if (!known) {
-      const share = new SendShare(intervalMs, now, this.#random());
-      this.#limits.set(id, { perSecond, heardAt: now, share });
+      const share = new SendPacer(intervalMs, now, this.#random());
+      this.#limits.set(id, { perSecond, heardAt: now, pacer: share });
       return 'named';
     }
     known.heardAt = now;
     if (known.perSecond === perSecond) return undefined;
     known.perSecond = perSecond;
-    known.share.setInterval(intervalMs, now);
+    known.pacer.setInterval(intervalMs, now);
     return 'changed';
   }
 
--- a/packages/core/src/types/news.ts
+++ b/packages/core/src/types/news.ts
@@ -11,7 +11,7 @@
   | { type: 'finished'; fingerprint: Fingerprint };
 
 /** A fact as it is sent between instances, with a sequence number of its origin. */
-export interface NewsItem {
+export interface GossipItem {
   origin: IncarnationId;
   seq: number;
   /** Milliseconds since it happened; an age, because the clocks of instances differ. */
@@ -29,7 +29,7 @@
   /** What the sender knows. */
   known: NewsVersions;
   /** Facts that the receiver may not know. */
-  items: NewsItem[];
+  items: GossipItem[];
 }
 
 /** A fact with the time at which it happened, by the clock of this instance. */
--- a/test/routing/admissionQueue.test.ts
+++ b/test/routing/admissionQueue.test.ts
@@ -16,7 +16,7 @@
   return { id: nextId, importance, deadline };
 }
 
-/** Offers and takes at a steady pace, so that the queue knows its drain rate. */
+/** Offers and takes at a steady rate, so that the queue has measured its drain rate. */
 function warmUp(queue: AdmissionQueue, takes: number, msPerTake: number): number {
   let now = 0;
   for (let i = 0; i < takes + 1; i += 1) queue.offer(entry('first'), now);
@@ -38,8 +38,8 @@
     assert.deepEqual(order, [early.id, late.id, standard.id]);
   });
 
-  // a season summary never comes: launch entries arrive faster than they can be served, and the
-  // background class waits behind them for as long as the rush lasts.
+  // Guards against starvation: requests of the first class arrive faster than they can be served, and
+  // background requests wait behind them until the overload ends.
   test('background work is served at its minimum share under lasting overload', () => {
     const queue = new AdmissionQueue({ maxSize: 100 });
     const served = { first: 0, standard: 0, background: 0 };
@@ -61,7 +61,7 @@
     { waiting: ['first', 'first'], offered: 'background', shed: 'background' },
   ];
   for (const { waiting, offered, shed } of cases) {
-    test(`full of ${waiting.join(' and ')}, ${offered} comes: ${shed} is shed at once`, () => {
+    test(`full of ${waiting.join(' and ')}, ${offered} arrives: ${shed} is shed at once`, () => {
       const queue = new AdmissionQueue({ maxSize: 2 });
       for (const importance of waiting) queue.offer(entry(importance), 0);
       const result = queue.offer(entry(offered), 0);
@@ -84,9 +84,9 @@
 });
 
 describe('deadlines', () => {
-  // a caller waits until its deadline and then is refused, though it was clear at once that its
-  // turn would come too late; it could have asked another router meanwhile.
-  test('a request whose turn comes after its deadline is refused when it comes', () => {
+  // Guards against callers that wait until their deadline although the predicted wait already exceeds
+  // it on arrival. A caller refused at once can try another router.
+  test('a request that would be served after its deadline is refused on arrival', () => {
     const queue = new AdmissionQueue({ maxSize: 100 });
     const now = warmUp(queue, 20, 50);
     for (let i = 0; i < 39; i += 1) queue.offer(entry('first'), now);
@@ -96,7 +96,7 @@
     assert.equal(queue.offer(entry('first', now + 1_000), now).queued, true);
   });
 
-  test('expired requests are given up without waiting for their turn', () => {
+  test('expired requests are shed without being taken', () => {
     const queue = new AdmissionQueue({ maxSize: 10 });
     const waiting = entry('first', 500);
     queue.offer(waiting, 0);
@@ -106,7 +106,7 @@
     assert.equal(queue.size, 0);
   });
 
-  test('take skips what can no longer be answered and says so', () => {
+  test('take skips requests that cannot be answered in time and returns them as shed', () => {
     const queue = new AdmissionQueue({ maxSize: 10 });
     const hopeless = { ...entry('first', 1_000), serviceMs: 800 };
     const fine = entry('standard', 5_000);
@@ -122,7 +122,7 @@
 });
 
 for (const name of ['fifo', 'importance-deadline'] as const) {
-  test(`${name}: a caller that went away leaves its place`, () => {
+  test(`${name}: the request of a caller that disconnected is removed`, () => {
     const queue = new AdmissionQueue({ maxSize: 10, discipline: createQueueDiscipline(name) });
     const gone = entry('first');
     queue.offer(gone, 0);
@@ -133,9 +133,9 @@
 }
 
 describe('reserve', () => {
-  // a launch entry waits for seconds behind season summaries: they hold every place of every server
-  // when it comes.
-  test('grows while the first class misses its target and fades after', () => {
+  // Guards against a request of the first class that waits for seconds because less important requests
+  // occupy every slot of every server when it arrives.
+  test('grows while the first class misses its target and decays afterwards', () => {
     const reserve = new ImportanceReserve();
     const keptFree = () => Number(reserve.ruleFor('standard').keptFree.toFixed(4));
     const windowOf = (missed: boolean) => {
@@ -148,7 +148,7 @@
     assert.equal(reserve.ruleFor('standard', true).keptFree, 0);
   });
 
-  test('take passes over what cannot be placed', () => {
+  test('take skips requests that cannot be placed', () => {
     const queue = new AdmissionQueue({ maxSize: 10 });
     const standard = entry('standard');
     queue.offer(standard, 0);
@@ -157,9 +157,9 @@
   });
 });
 
-// a class is refused for good after an incident: its expected time passed its deadline, so every
-// request was refused, none ended, and the expectation was never corrected.
-test('the expected time fades while no answer comes', () => {
+// Guards against a class that stays refused after an incident: its expected time exceeded its deadline,
+// so every request was refused, none ended, and the expected time was never corrected.
+test('the expected service time decays while no answer arrives', () => {
   let known = recordServiceTime(undefined, 8_000, 0);
   known = recordServiceTime(known, 8_000, 1_000);
   const fresh = cautiousServiceMs(known, 1_000);
--- a/test/routing/attempts.test.ts
+++ b/test/routing/attempts.test.ts
@@ -22,8 +22,9 @@
 }
 
 describe('after a failed attempt', () => {
-  // a family arrives to find its bed reserved twice, or is told "not run" of a reservation that
-  // stands: the connection broke after the request was sent, and it was sent again or judged unrun.
+  // Guards against duplicate reservations, and against reporting `not-run` for a reservation that was
+  // made: the connection failed after the request was sent, and the request was retried or assumed
+  // not to have run.
   const cases = [
     { idempotent: false, made: 1, provablyNotRun: false, expected: 'outcome-unknown/unknown' },
     { idempotent: false, made: 1, provablyNotRun: true, expected: 'retry' },
@@ -48,9 +49,9 @@
   }
 });
 
-// all servers fail and each caller's request is tried three times: the overload triples just when
-// the servers come back.
-test('retries are at most a fifth of the requests once the savings are spent', () => {
+// Guards against retries that amplify an outage: all servers fail, each request is attempted three
+// times, and the load triples just when the servers recover.
+test('retries are at most a fifth of the requests once the saved budget is spent', () => {
   let budget = createRetryBudget({ ratio: 0.2, max: 10 });
   let retries = 0;
   for (let i = 0; i < 1_000; i += 1) {
--- a/test/routing/brokenOff.test.ts
+++ b/test/routing/brokenOff.test.ts
@@ -20,9 +20,9 @@
   state: 'live',
 };
 
-/** Says that a server has ended or not, and counts the questions. */
-class KnownEnd extends CrashCheck {
-  asked = 0;
+/** Crash check with a fixed result that counts its calls. */
+class FixedCrashCheck extends CrashCheck {
+  calls = 0;
   readonly #ended: boolean;
 
   constructor(ended: boolean) {
@@ -31,20 +31,20 @@
   }
 
   override hasEnded(): Promise<boolean> {
-    this.asked += 1;
+    this.calls += 1;
     return Promise.resolve(this.#ended);
   }
 }
 
-class World {
+class LaneFixture {
   readonly clock = new ManualClock(1_000);
   readonly log = new MemoryEventLog();
-  readonly check: KnownEnd;
+  readonly check: FixedCrashCheck;
   readonly register: QuarantineRegister;
   readonly lane: ServiceLane;
 
   constructor(ended: boolean) {
-    this.check = new KnownEnd(ended);
+    this.check = new FixedCrashCheck(ended);
     const notices = new ServerNotices(new ServerRateLimits(() => 0.5), () => 0);
     const pool = new ServerPool({
       dataCentre: 'dc-a',
@@ -82,9 +82,10 @@
   }
 }
 
-// A server that has not worked yet sends no head, so a request that ends it is never found out.
-test('requests whose connections end with their server are suspects, each once', async () => {
-  const world = new World(true);
+// A server sends no response headers before it has done some work. Guards against missing a request that
+// crashes its server before any headers arrive.
+test('requests whose connections fail in a server crash become suspects, each once', async () => {
+  const world = new LaneFixture(true);
   const [first, second, third] = await Promise.all(['a', 'b', 'c'].map((f) => world.place(f)));
   first?.end('broken');
   second?.end('broken');
@@ -93,7 +94,7 @@
   await Promise.resolve();
   const verdicts = ['a', 'b', 'c'].map((fingerprint) => world.register.judge(fingerprint));
   assert.deepEqual(verdicts, ['suspect', 'suspect', 'suspect']);
-  assert.equal(world.check.asked, 1);
+  assert.equal(world.check.calls, 1);
   const crashes = world.log.events.filter(({ event }) => event === 'backend-crashed');
   assert.deepEqual(
     crashes.map(({ fields }) => fields.inFlight),
@@ -101,9 +102,9 @@
   );
 });
 
-// A reset connection makes suspects of all requests at a server that lives.
-test('requests of a server that only lost connections stay clear', async () => {
-  const world = new World(false);
+// Guards against a reset connection that makes suspects of all requests at a server that is running.
+test('requests at a server that only lost connections stay clear', async () => {
+  const world = new LaneFixture(false);
   const [first] = await Promise.all(['a', 'b'].map((f) => world.place(f)));
   first?.end('broken');
   await Promise.resolve();
--- a/test/routing/crashEvidence.test.ts
+++ b/test/routing/crashEvidence.test.ts
@@ -2,16 +2,16 @@
 import { describe, test } from 'node:test';
 import type { QuarantineEvent, QuarantineState } from '@flamingocourse/core';
 import { createQuarantine, judgeFingerprint, reduceQuarantine } from '@flamingocourse/core';
-import type { CrashShape, CrashTally } from './fixtures/crashingFleet.js';
-import { playCrashes } from './fixtures/crashingFleet.js';
+import type { CrashScenario, CrashResult } from './fixtures/crashingFleet.js';
+import { simulateCrashes } from './fixtures/crashingFleet.js';
 
 const SEEDS = 40;
 const MS_PER_SECOND = 1_000;
 const MS_PER_MINUTE = 60_000;
-/** Servers that a cause may end: three, and three more until all know of it. */
-const MOST_ENDED = 6;
+/** Servers that a cause may crash: three, and three more until all instances know of it. */
+const MAX_CRASHED = 6;
 
-/** A crash as one of several instances that had requests at the server reports it. */
+/** A crash as reported by one of several instances that had requests in flight at the server. */
 function crash(server: string, ...inFlight: string[]): QuarantineEvent {
   return { type: 'crashed', server, inFlight, isShared: true };
 }
@@ -20,7 +20,7 @@
   return { type: 'finished', fingerprint };
 }
 
-/** Applies one event a second. */
+/** Applies one event per second. */
 function after(events: QuarantineEvent[]): QuarantineState {
   return events.reduce(
     (state, event, i) => reduceQuarantine(state, event, (i + 1) * MS_PER_SECOND),
@@ -28,11 +28,12 @@
   );
 }
 
-describe('a request at whose servers several instances have requests', () => {
-  // An instance takes an innocent request for the cause, because it does not see the cause that another sent there.
+describe('a request on servers shared by several instances', () => {
+  // Guards against an instance that blames an innocent request because it does not see the cause, which
+  // another instance sent to the same server.
   const cases = [
     {
-      name: 'two crashes, alone as far as its instance sees',
+      name: 'two crashes, alone as far as its instance knows',
       events: [
         crash('s1', 'cause'),
         crash('s1', 'other'),
@@ -43,13 +44,13 @@
       other: 'suspect',
     },
     {
-      name: 'three servers, and nobody else was at all of them',
+      name: 'three servers, and no other request was in flight at all of them',
       events: [crash('s1', 'cause', 'other'), crash('s2', 'cause', 'other'), crash('s3', 'cause')],
       cause: 'quarantined',
       other: 'suspect',
     },
     {
-      name: 'three servers, and another was at all of them',
+      name: 'three servers, and another request was in flight at all of them',
       events: [
         crash('s1', 'cause', 'other'),
         crash('s2', 'cause', 'other'),
@@ -59,7 +60,7 @@
       other: 'suspect',
     },
     {
-      name: 'a fourth tells them apart',
+      name: 'a fourth server distinguishes them',
       events: [
         ...['s1', 's2', 's3'].map((server) => crash(server, 'cause', 'other')),
         crash('s4', 'cause'),
@@ -68,7 +69,7 @@
       other: 'suspect',
     },
     {
-      name: 'two that always come together are both refused after the fifth',
+      name: 'two that always run together are both refused after the fifth server',
       events: ['s1', 's2', 's3', 's4', 's5'].map((server) => crash(server, 'cause', 'other')),
       cause: 'quarantined',
       other: 'quarantined',
@@ -80,13 +81,13 @@
       other: 'clear',
     },
     {
-      name: 'it finished somewhere in between',
+      name: 'it finished between the crashes',
       events: [crash('s1', 'cause'), crash('s2', 'cause'), finish('cause'), crash('s3', 'cause')],
       cause: 'suspect',
       other: 'clear',
     },
     {
-      name: 'servers end without it as well',
+      name: 'servers also crash without it',
       events: [
         crash('s1', 'cause'),
         ...['s2', 's3'].map((server) => crash(server, 'other')),
@@ -106,7 +107,7 @@
     });
   }
 
-  test('is let run again after ten minutes, and refused for a day if that ends a server', () => {
+  test('is allowed again after ten minutes, and refused for a day if it crashes a server then', () => {
     let state = after(['s1', 's2', 's3'].map((server) => crash(server, 'cause')));
     assert.equal(judgeFingerprint(state, 'cause', 9 * MS_PER_MINUTE), 'quarantined');
     assert.equal(judgeFingerprint(state, 'cause', 11 * MS_PER_MINUTE), 'suspect');
@@ -114,41 +115,42 @@
     assert.equal(judgeFingerprint(state, 'cause', 600 * MS_PER_MINUTE), 'quarantined');
   });
 
-  test('is cleared when it finishes, also while it is refused', () => {
+  test('is cleared when it finishes, even while it is refused', () => {
     const crashes = ['s1', 's2', 's3'].map((server) => crash(server, 'cause'));
     const state = after([...crashes, finish('cause')]);
     assert.equal(judgeFingerprint(state, 'cause', 10 * MS_PER_SECOND), 'clear');
   });
 });
 
-describe('ten servers beside callers', () => {
-  // Requests that were only beside a cause are refused, or a cause ends server after server.
+describe('simulated load on ten servers', () => {
+  // Guards against refusing requests that only ran beside a cause, and against a cause that crashes one
+  // server after another.
   const quiet = { repeatMs: 450, ownCrashMs: Infinity, repeated: 5 };
-  const cases: (Omit<CrashShape, 'seed'> & { name: string; refused: number })[] = [
+  const cases: (Omit<CrashScenario, 'seed'> & { name: string; refused: number })[] = [
     { ...quiet, name: 'one cause', causes: 1, refused: 0 },
     { ...quiet, name: 'three causes', causes: 3, refused: 0.01 },
     { ...quiet, name: 'one cause, often', causes: 1, repeatMs: 100, refused: 0.01 },
-    { ...quiet, name: 'a crash each 600 ms', causes: 0, ownCrashMs: 600, refused: 0.01 },
-    { ...quiet, name: 'a cause beside crashes', causes: 1, ownCrashMs: 600, refused: 0.01 },
+    { ...quiet, name: 'a crash every 600 ms', causes: 0, ownCrashMs: 600, refused: 0.01 },
+    { ...quiet, name: 'a cause and unrelated crashes', causes: 1, ownCrashMs: 600, refused: 0.01 },
   ];
   for (const { name, refused, ...shape } of cases) {
-    test(`${name}: at most ${String(MOST_ENDED)} end by it, others are hardly refused`, () => {
+    test(`${name}: at most ${String(MAX_CRASHED)} servers crash, few other requests are refused`, () => {
       const runs = play(shape);
-      const ended = Math.max(0, ...runs.flatMap(({ endedBy }) => endedBy));
+      const ended = Math.max(0, ...runs.flatMap(({ crashedBy: endedBy }) => endedBy));
       const sent = runs.reduce((sum, run) => sum + run.sent, 0);
       const wrong = runs.reduce((sum, run) => sum + run.refused, 0);
-      assert.ok(ended <= MOST_ENDED, `${String(ended)} servers`);
+      assert.ok(ended <= MAX_CRASHED, `${String(ended)} servers`);
       assert.ok(wrong <= refused * sent, `${String(wrong)} of ${String(sent)} refused`);
     });
   }
 
-  // An innocent request that was taken for a cause is refused for a day.
+  // Guards against an innocent request that is mistaken for a cause and refused for a day.
   const storms = [
-    { ...quiet, name: 'a crash each 250 ms', causes: 0, ownCrashMs: 250 },
+    { ...quiet, name: 'a crash every 250 ms', causes: 0, ownCrashMs: 250 },
     { ...quiet, name: 'three causes, often', causes: 3, repeatMs: 100 },
   ];
   for (const { name, ...shape } of storms) {
-    test(`${name}: nobody else is refused for longer than a minute`, () => {
+    test(`${name}: no other request is refused for longer than a minute`, () => {
       const runs = play(shape);
       const later = runs.reduce((sum, { refusedLater }) => sum + refusedLater, 0);
       assert.equal(later, 0);
@@ -156,6 +158,6 @@
   }
 });
 
-function play(shape: Omit<CrashShape, 'seed'>): CrashTally[] {
-  return Array.from({ length: SEEDS }, (_, i) => playCrashes({ ...shape, seed: i + 1 }));
+function play(shape: Omit<CrashScenario, 'seed'>): CrashResult[] {
+  return Array.from({ length: SEEDS }, (_, i) => simulateCrashes({ ...shape, seed: i + 1 }));
 }
--- a/test/routing/keptServers.test.ts
+++ b/test/routing/keptServers.test.ts
@@ -14,18 +14,18 @@
 describe('a server whose entry is missing', () => {
   const words: readonly { word: ServerWord; stillKept: boolean }[] = [
     { word: 'staying', stillKept: true },
-    // a busy server doesn't answer in time; to drop all of these after an outage would leave nobody.
+    // a busy server may not answer in time. Dropping all such servers after an outage would leave none.
     { word: 'unknown', stillKept: true },
     { word: 'leaving', stillKept: false },
     { word: 'gone', stillKept: false },
   ];
   for (const { word, stillKept } of words) {
-    test(`is ${stillKept ? 'kept' : 'not kept'} when its word is: ${word}`, () => {
+    test(`is ${stillKept ? 'kept' : 'not kept'} when the probe result is: ${word}`, () => {
       assert.equal(keep('p1').hear('p1', word, 5), stillKept);
     });
   }
 
-  test('is asked at once, not again before its answer, and again after half a second', () => {
+  test('is probed at once, not again before its answer, and half a second after it', () => {
     const kept = keep('p1', 'p2');
     assert.deepEqual(kept.takeToAsk(0), ['p1', 'p2']);
     assert.deepEqual(kept.takeToAsk(400), []);
@@ -35,7 +35,7 @@
     assert.deepEqual(kept.takeToAsk(900), ['p1']);
   });
 
-  test('is given up when its time is over, whatever it says', () => {
+  test('is given up at the time limit, whatever it answers', () => {
     const kept = keep('p1');
     kept.hear('p1', 'staying', 2_100);
     assert.deepEqual(kept.over(UNTIL - 1), []);
@@ -44,14 +44,14 @@
     assert.equal(kept.nextAt, Infinity);
   });
 
-  test('that is missing again is kept for longer, never for less', () => {
+  test('that is missing again is kept for longer, never for a shorter time', () => {
     const kept = keep('p1');
     assert.equal(kept.keep('p1', 3_000, 500), false);
     assert.equal(kept.keep('p1', 1_000, 600), false);
     assert.deepEqual(kept.over(2_999), []);
   });
 
-  test('that is not kept any more is not kept by a late word', () => {
+  test('that is no longer kept is not kept again by a late answer', () => {
     const kept = keep('p1');
     kept.end('p1', 10);
     assert.equal(kept.hear('p1', 'staying', 20), false);
--- a/test/routing/promptHolders.test.ts
+++ b/test/routing/promptHolders.test.ts
@@ -13,9 +13,9 @@
 const SERVERS = ['e0', 'e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'e7'];
 const INSTANCES = 7;
 const SESSIONS = 140;
-/** Tokens of a session that its requests share, as the third customer states them. */
+/** Tokens that the requests of a session share, according to the third customer. */
 const SESSION_TOKENS = 6_300;
-/** Reports in 55 s at 11.6 a second. */
+/** Number of report requests: 55 s at 11.6 per second. */
 const REPORTS = 640;
 
 function server(id: string): BackendServer {
@@ -40,15 +40,15 @@
     const query = { scope: 'everywhere' } as const;
     const chosen = chooseServer(this.pool, this.#chooser, { prefixHash }, query, now, random);
     assert.ok(chosen);
-    // notes in progress: some servers are busier than others by chance, so that reports go elsewhere.
+    // note requests in flight: by chance some servers are busier than others, which diverts reports.
     const until = now + 4_000 * random();
     this.#inFlight.push({ attempt: this.pool.dispatch(chosen.id, now), until });
     return chosen.id;
   }
 }
 
-/** Tokens that are read though another server has them. */
-function readAgain(seed: number, copies: boolean): number {
+/** Number of tokens that are processed again although another server has them cached. */
+function countTokensProcessedAgain(seed: number, copies: boolean): number {
   const random = createRandom(seed);
   const instances = Array.from({ length: INSTANCES }, () => new Instance());
   const read = new Map<string, Set<string>>();
@@ -73,29 +73,30 @@
   return again;
 }
 
-// A prompt that another engine has read is read again, and all streams beside it pause.
-describe('a prompt that was read elsewhere is copied from there', () => {
+// Guards against processing a prompt again that another engine has cached: all streams on the same engine
+// pause meanwhile.
+describe('a prompt cached at another server is copied from there', () => {
   for (const seed of [1, 2, 3]) {
-    test(`less than half is read again, seed ${String(seed)}`, () => {
-      const before = readAgain(seed, false);
-      const after = readAgain(seed, true);
+    test(`less than half is processed again, seed ${String(seed)}`, () => {
+      const before = countTokensProcessedAgain(seed, false);
+      const after = countTokensProcessedAgain(seed, true);
       assert.ok(before > 20 * SESSION_TOKENS, `${String(before)} tokens`);
       assert.ok(after < before / 2, `${String(after)} of ${String(before)} tokens`);
     });
   }
 });
 
-describe('where a copy is looked for', () => {
+describe('source of a copy', () => {
   const pool = new ServerPool({ dataCentre: 'dc-a', concurrencyPerServer: 8 });
   pool.applyList(SERVERS.map(server), 0);
   const first = pool.likelyHolder(hash32('p'), new Set(), 0)?.id ?? '';
 
-  test('not at a server that is excluded', () => {
+  test('is not an excluded server', () => {
     const second = pool.likelyHolder(hash32('p'), new Set([first]), 0)?.id;
     assert.ok(second !== undefined && second !== first);
   });
 
-  test('not at a server that is out of reach or leaves', () => {
+  test('is not an unreachable or leaving server', () => {
     const attempt = pool.dispatch(first, 0);
     pool.unreachable(attempt, 0);
     const second = pool.likelyHolder(hash32('p'), new Set(), 0)?.id ?? '';
@@ -104,7 +105,7 @@
     assert.notEqual(pool.likelyHolder(hash32('p'), new Set(), 0)?.id, second);
   });
 
-  test('nowhere when there is no other server', () => {
+  test('is undefined if there is no other server', () => {
     assert.equal(pool.likelyHolder(hash32('p'), new Set(SERVERS), 0), undefined);
   });
 });
--- a/test/routing/quarantine.test.ts
+++ b/test/routing/quarantine.test.ts
@@ -18,7 +18,7 @@
   return { type: 'finished', fingerprint };
 }
 
-/** Applies one event a second. */
+/** Applies one event per second. */
 function after(events: QuarantineEvent[], from = createQuarantine()): QuarantineState {
   return events.reduce((state, event, i) => reduceQuarantine(state, event, (i + 1) * 1_000), from);
 }
@@ -26,10 +26,10 @@
 const now = 20_000;
 
 describe('verdicts', () => {
-  // one request crashes each server that runs it and its caller sends it again; the neighbours that
+  // One request crashes each server that runs it, and its caller sends it again. The other requests that
   // were in flight on the first server are innocent and must get their answers.
   const cases = [
-    { name: 'nothing seen', events: [], poison: 'clear', neighbour: 'clear' },
+    { name: 'no events', events: [], poison: 'clear', neighbour: 'clear' },
     {
       name: 'one crash makes all in flight suspects',
       events: [crash('s1', 'poison', 'neighbour')],
@@ -49,7 +49,7 @@
       neighbour: 'suspect',
     },
     {
-      name: 'a second crash together with another suspect tells nothing yet',
+      name: 'a second crash together with another suspect proves nothing yet',
       events: [crash('s1', 'poison', 'neighbour'), crash('s2', 'poison', 'neighbour')],
       poison: 'suspect',
       neighbour: 'suspect',
@@ -61,7 +61,7 @@
       neighbour: 'clear',
     },
     {
-      name: 'the same server twice can be the fault of the server',
+      name: 'two crashes of the same server may be its own fault',
       events: [crash('s1', 'poison'), crash('s1', 'poison')],
       poison: 'suspect',
       neighbour: 'clear',
@@ -115,9 +115,9 @@
 });
 
 describe('peers', () => {
-  // the poison moves on to another router, whose servers it crashes too: each router alone has seen
-  // only one crash.
-  test('a hint makes a request suspect at the peer, whose crash is then the second', () => {
+  // The harmful request moves on to another router and crashes its servers too, but each router alone
+  // has observed only one crash.
+  test('a hint makes a request a suspect at the peer, so that its next crash counts as the second', () => {
     const hint = quarantineHint(after([crash('s1', 'poison')]), 10);
     const peer = mergeQuarantines(createQuarantine(), structuredClone(hint), now);
     assert.equal(judgeFingerprint(peer, 'poison', now), 'suspect');
@@ -125,7 +125,7 @@
     assert.equal(judgeFingerprint(second, 'poison', now), 'quarantined');
   });
 
-  test('a late hint of a crash does not undo that the request was cleared', () => {
+  test('a late hint of a crash does not override that the request was cleared', () => {
     const suspect = after([crash('s1', 'neighbour')]);
     const cleared = after([crash('s1', 'neighbour'), finish('neighbour')]);
     const merged = mergeQuarantines(cleared, suspect, now);
--- a/test/routing/rateLimitedFleet.test.ts
+++ b/test/routing/rateLimitedFleet.test.ts
@@ -6,12 +6,12 @@
 
 const SEEDS = [1, 2, 3];
 
-/** Most requests that may reach a server in four seconds, from all instances that it told its limit. */
+/** Maximum requests that may reach a server in four seconds, from instances that know its limit. */
 function allowed(perSecond: number): number {
   return 6 * perSecond + 5;
 }
 
-/** A quiet time, then ten times as many requests. */
+/** Demand that rises to ten times its rate at a given time. */
 function burstAt(from: number, perSecond: number): (now: number) => number {
   return (now) => (now < from ? perSecond / 10 : perSecond);
 }
@@ -44,7 +44,7 @@
     demand: () => 300,
   },
   {
-    name: '86 instances, few requests a second',
+    name: '86 instances, few requests per second',
     instances: 86,
     servers: 6,
     limited: 1,
@@ -52,7 +52,7 @@
     demand: () => 300,
   },
   {
-    name: '86 instances, many requests a second',
+    name: '86 instances, many requests per second',
     instances: 86,
     servers: 6,
     limited: 2,
@@ -76,7 +76,7 @@
     demand: burstAt(40_000, 400),
   },
   {
-    name: 'a quarter of the instances not counted yet',
+    name: 'a quarter of the instances not yet counted',
     instances: 86,
     counted: 65,
     servers: 6,
@@ -85,7 +85,7 @@
     demand: () => 300,
   },
   {
-    name: 'instances replaced all the time',
+    name: 'instances replaced continuously',
     instances: 86,
     servers: 6,
     limited: 2,
@@ -95,8 +95,8 @@
   },
 ];
 
-describe('what reaches a server that names a rate limit', () => {
-  // guards against instances that each use the whole limit, or that send their parts all at once.
+describe('request rate at a server that reports a rate limit', () => {
+  // Guards against instances that each use the whole limit, or that all send their share at once.
   for (const { name, ...options } of cases) {
     test(`stays within the limit: ${name}`, () => {
       for (const seed of SEEDS) {
@@ -109,8 +109,8 @@
     });
   }
 
-  // guards against a server that gets nothing although it said what it takes.
-  test('is a good part of the limit', () => {
+  // Guards against a server that gets no requests although it reported which rate it accepts.
+  test('uses a substantial part of the limit', () => {
     for (const { name, ...options } of cases.filter(({ demand }) => demand(0) > 50)) {
       const rates = SEEDS.map((seed) => {
         const fleet = new RateLimitedFleet({ ...options, seed });
@@ -122,8 +122,8 @@
     }
   });
 
-  // guards against a limit that is remembered for good because nobody hears that it has ended.
-  test('is what any other gets, soon after the limit ended', () => {
+  // Guards against a limit that is never removed because no instance learns that it has ended.
+  test('equals that of the other servers soon after the limit has ended', () => {
     const fleet = new RateLimitedFleet({
       instances: 8,
       servers: 6,
--- a/test/routing/rateLimitedLane.test.ts
+++ b/test/routing/rateLimitedLane.test.ts
@@ -12,10 +12,10 @@
 import { ManualClock, MemoryEventLog } from '@flamingocourse/kernel';
 import { QuarantineRegister, ServiceLane } from '@flamingocourse/router';
 
-const PLACES = 10;
+const SLOTS = 10;
 
-/** A lane before one server. */
-class World {
+/** A lane with one server. */
+class LaneFixture {
   readonly clock = new ManualClock();
   readonly limits = new ServerRateLimits(() => 0.5);
   readonly notices = new ServerNotices(this.limits, () => 0);
@@ -31,7 +31,7 @@
     };
     const pool = new ServerPool({
       dataCentre: 'dc-a',
-      concurrencyPerServer: PLACES,
+      concurrencyPerServer: SLOTS,
       limitKind: 'fixed',
       notices: this.notices,
     });
@@ -50,7 +50,7 @@
     });
   }
 
-  /** What becomes of a request by now: `placed`, `waits`, or the reason of its refusal. */
+  /** Current state of a new request: `placed`, `waits`, or the reason of its refusal. */
   async place(change: Partial<PlacementRequest> = {}): Promise<string> {
     const placed = this.lane.place({
       service: 'llm',
@@ -68,31 +68,31 @@
   }
 }
 
-describe('a request while the only server limits the requests a second', () => {
-  // guards against callers that wait for a turn that comes too late, or that are refused one in time.
+describe('a request while the only server has a rate limit', () => {
+  // Guards against callers that wait for a slot that is too late, or that are refused one in time.
   const cases = [
-    { name: 'whose turn comes in time waits', startByMs: 1_000, end: 'waits' },
-    { name: 'whose turn comes too late is refused', startByMs: 500, end: 'overloaded' },
+    { name: 'with a slot in time waits', startByMs: 1_000, end: 'waits' },
+    { name: 'with a slot that is too late is refused', startByMs: 500, end: 'overloaded' },
   ];
   for (const { name, startByMs, end } of cases) {
     test(name, async () => {
-      const world = new World();
-      // 0.6 of the limit at 1.2 a second is a request each 1,389 ms; the first is due after half of it.
+      const world = new LaneFixture();
+      // 0.6 of 1.2 requests per second is one per 1,389 ms; the first is due after half of that.
       world.limits.tell('s1', { type: 'limit', perSecond: 1.2 }, 0);
       assert.equal(await world.place({ startBy: startByMs }), end);
     });
   }
 });
 
-describe('a request while the only server rests', () => {
-  // guards against callers that are held until their time is over for a server that wants none of them.
+describe('a request during a pause of the only server', () => {
+  // Guards against callers that are kept waiting until their timeout for a server that accepts none.
   const cases = [
     { name: 'that ends in time waits', startByMs: 1_500, end: 'waits' },
     { name: 'that ends too late is refused', startByMs: 500, end: 'overloaded' },
   ];
   for (const { name, startByMs, end } of cases) {
     test(name, async () => {
-      const world = new World();
+      const world = new LaneFixture();
       const rest = { type: 'rest', ms: 1_000 } as const;
       world.notices.tell({ id: 's1' }, { leaving: false, rest, rateLimit: { type: 'none' } }, 0);
       assert.equal(await world.place({ startBy: startByMs }), end);
@@ -104,23 +104,23 @@
   }
 });
 
-// guards against less important requests that wait although there are places, because others were refused
-// for a rate limit: keeping places free helps nobody against it.
-test('refusals for a rate limit keep no places free after its end', async () => {
-  const world = new World();
+// Guards against less important requests that wait although slots are free, because others were refused
+// due to a rate limit. Reserving slots does not help against a rate limit.
+test('refusals due to a rate limit reserve no slots after the limit has ended', async () => {
+  const world = new LaneFixture();
   world.limits.tell('s1', { type: 'limit', perSecond: 0.1 }, 0);
   for (let count = 0; count < 100; count += 1) {
     assert.equal(await world.place({ importance: 'first', startBy: 100 }), 'overloaded');
   }
   world.limits.tell('s1', { type: 'none' }, 0);
-  for (let count = 0; count < PLACES; count += 1) assert.equal(await world.place(), 'placed');
+  for (let count = 0; count < SLOTS; count += 1) assert.equal(await world.place(), 'placed');
 });
 
-// guards against requests that are let in for places of a server which takes hardly any.
-test('a limited server counts as the one request that is due, not as all its places', () => {
-  const { limits, lane } = new World();
+// Guards against admitting requests for all slots of a server whose rate limit allows very few.
+test('a rate-limited server counts as the one request that is due, not as all its slots', () => {
+  const { limits, lane } = new LaneFixture();
   const { pool } = lane;
-  assert.equal(pool.capacity(0), PLACES);
+  assert.equal(pool.capacity(0), SLOTS);
   limits.tell('s1', { type: 'limit', perSecond: 1 }, 0);
   const dueAt = limits.nextAt('s1', 0);
   const everything = { keptFree: 0, extra: 0 };
@@ -131,5 +131,5 @@
   pool.dispatch('s1', dueAt);
   assert.equal(pool.capacity(dueAt), 0);
   limits.tell('s1', { type: 'none' }, dueAt);
-  assert.equal(pool.capacity(dueAt), PLACES);
+  assert.equal(pool.capacity(dueAt), SLOTS);
 });
--- a/test/routing/reachability.test.ts
+++ b/test/routing/reachability.test.ts
@@ -26,12 +26,17 @@
 const openIds = (pool: ServerPool, now: number): string[] =>
   pool.candidates({}, now).map(({ id }) => id);
 
-describe('the way to a server', () => {
+describe('reachability of a server', () => {
   const cases = [
-    { name: 'is open at first', silences: [], now: 0, expected: true },
-    { name: 'is avoided after a silence', silences: [0], now: 700, expected: false },
-    { name: 'is tried again after a pause', silences: [0], now: 800, expected: true },
-    { name: 'is avoided longer each time', silences: [0, 900], now: 2_000, expected: false },
+    { name: 'is assumed at first', silences: [], now: 0, expected: true },
+    { name: 'is denied after a silence', silences: [0], now: 700, expected: false },
+    { name: 'is tested again after the avoid time', silences: [0], now: 800, expected: true },
+    {
+      name: 'is denied for longer after each silence',
+      silences: [0, 900],
+      now: 2_000,
+      expected: false,
+    },
     {
       name: 'does not count the same silence twice',
       silences: [0, 100, 200],
@@ -39,7 +44,7 @@
       expected: true,
     },
     {
-      name: 'is tried again within seconds',
+      name: 'is tested again within seconds',
       silences: [0, 900, 2_600, 6_000],
       now: 9_200,
       expected: true,
@@ -52,16 +57,16 @@
     });
   }
 
-  test('is tried by one request at a time', () => {
+  test('is tested by one request at a time', () => {
     const state = recordSent(recordSilence(REACHABLE, 0), 900);
     assert.equal(isReachable(state, 901), false);
     assert.equal(isReachable(state, 1_400), true);
   });
 });
 
-// winch drivers wait a second for each refusal: their hall is cut off, most servers lie behind the
-// partition, and every request waits for its connection to each of them in turn.
-test('with most servers behind a partition the few in reach get all work', () => {
+// Guards against refusals that take a second: a data centre is cut off, most servers are behind the
+// partition, and every request waits for a connection to each of them in turn.
+test('if most servers are behind a partition, the reachable ones get all requests', () => {
   const pool = createPool(['near', 'far-1', 'far-2', 'far-3']);
   for (const id of ['far-1', 'far-2', 'far-3']) {
     const attempt = pool.dispatch(id, 100);
@@ -72,7 +77,7 @@
   assert.deepEqual(pool.countReachable(400), { reachable: 1, listed: 4 });
 });
 
-test('with none in reach the caller is told at once', () => {
+test('if no server is reachable, the caller is refused at once', () => {
   const pool = createPool(['far']);
   const attempt = pool.dispatch('far', 0);
   pool.unreachable(attempt, 250);
@@ -80,8 +85,9 @@
   assert.equal(pool.hasOpenServer(undefined, 2_000), true);
 });
 
-// a server loses power with requests in flight: each new one would wait there to its time limit.
-test('a server at which requests wait in silence is avoided until it is heard', () => {
+// Guards against requests that wait until their timeout at a server that lost power with requests in
+// flight.
+test('a silent server with requests in flight is avoided until something is received from it', () => {
   const pool = createPool(['dark', 'sound']);
   const waiting = pool.dispatch('dark', 0);
   const answered = pool.dispatch('sound', 0);
--- a/test/routing/routingExperiment.test.ts
+++ b/test/routing/routingExperiment.test.ts
@@ -30,9 +30,9 @@
   assert.deepEqual(run(chosenPolicy, scenario), run(chosenPolicy, scenario));
 });
 
-// the duty pilots' launch entries fail under overload, though the servers could answer all of them:
-// they wait behind longer work that matters less.
-test('under overload the first class is served far better than without the decisions', () => {
+// Guards against requests of the first class that fail under overload although the servers could answer
+// all of them: they wait behind longer and less important requests.
+test('under overload the first class is served far better than by the baseline', () => {
   const scenario = { name: 'load 1.5', load: 1.5, fault: 'none' } as const;
   const [chosen] = run(chosenPolicy, scenario).classes;
   const [naive] = run(naivePolicy, scenario).classes;
--- a/test/routing/serverChooser.test.ts
+++ b/test/routing/serverChooser.test.ts
@@ -18,7 +18,7 @@
   };
 }
 
-/** Picks 600 times for one prefix and counts. */
+/** Counts the picks per server in 600 choices for one prefix. */
 function countPicks(name: ServerChooserName, loads: number[], prefix = 'shop'): number[] {
   const [first, ...rest] = loads.map((load, i) => candidate(`s${i}`, load));
   assert.ok(first);
@@ -38,7 +38,7 @@
   assert.ok(countPicks('random', [0, 0, 0]).every((count) => count > 150));
 });
 
-test('the least loaded server for its capacity is picked', () => {
+test('the server with the lowest load relative to its capacity is picked', () => {
   assert.deepEqual(countPicks('least-loaded', [5, 1, 3]), [0, 600, 0]);
 });
 
@@ -49,7 +49,7 @@
 });
 
 describe('prefix affinity', () => {
-  test('one prefix stays at one server, and prefixes spread', () => {
+  test('one prefix stays at one server, and different prefixes are spread', () => {
     assert.equal(Math.max(...countPicks('prefix-affinity', [2, 2, 2])), 600);
     const owners = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map((prefix) => {
       const counts = countPicks('prefix-affinity', [2, 2, 2], prefix);
@@ -58,9 +58,9 @@
     assert.equal(new Set(owners).size, 3);
   });
 
-  // one shop's volunteers wait while other servers idle: all share one prompt prefix and are sent
-  // to its one server, however loaded it is.
-  test('a prefix leaves its server when that is loaded far above the mean', () => {
+  // Guards against callers that wait while other servers are idle: all share one prompt prefix and are
+  // sent to its one server regardless of its load.
+  test('a prefix moves to another server if the load of its own is far above the mean', () => {
     const owner = countPicks('prefix-affinity', [2, 2, 2]).indexOf(600);
     const loads = [2, 2, 2].map((load, i) => (i === owner ? 9 : load));
     assert.equal(countPicks('prefix-affinity', loads)[owner], 0);
--- a/test/routing/serverNotices.test.ts
+++ b/test/routing/serverNotices.test.ts
@@ -3,8 +3,8 @@
 import { describe, test } from 'node:test';
 import { ServerNotices, ServerRateLimits } from '@flamingocourse/core';
 
-const START: ServerStart = { id: 'p1', bornAt: 100 };
-const NEXT_START: ServerStart = { id: 'p1', bornAt: 200 };
+const INCARNATION: ServerStart = { id: 'p1', bornAt: 100 };
+const NEXT_INCARNATION: ServerStart = { id: 'p1', bornAt: 200 };
 
 function notice(change: Partial<ServerNotice> = {}): ServerNotice {
   return { leaving: false, rest: { type: 'none' }, rateLimit: { type: 'none' }, ...change };
@@ -20,107 +20,109 @@
   return new ServerNotices(new ServerRateLimits(() => 0), () => random);
 }
 
-describe('a server that says that it leaves', () => {
-  test('gets nothing more, whatever it says after', () => {
+describe('a server that reports that it is leaving', () => {
+  test('gets no more requests, whatever it reports later', () => {
     const notices = createNotices();
-    assert.deepEqual(notices.tell(START, LEAVES, 0), ['leaving'] satisfies NoticeChange[]);
-    assert.deepEqual(notices.tell(START, notice(), 10), []);
-    assert.equal(notices.nextAt(START, 1_000_000), Infinity);
+    assert.deepEqual(notices.tell(INCARNATION, LEAVES, 0), ['leaving'] satisfies NoticeChange[]);
+    assert.deepEqual(notices.tell(INCARNATION, notice(), 10), []);
+    assert.equal(notices.nextAt(INCARNATION, 1_000_000), Infinity);
   });
 
-  test('is another once it was started again', () => {
+  test('counts as a different one after a restart', () => {
     const notices = createNotices();
-    notices.tell(START, LEAVES, 0);
-    assert.equal(notices.nextAt(NEXT_START, 10), 10);
-    notices.tell(NEXT_START, notice(), 20);
-    // a late answer of the earlier start.
-    notices.tell(START, LEAVES, 30);
-    assert.equal(notices.nextAt(NEXT_START, 40), 40);
+    notices.tell(INCARNATION, LEAVES, 0);
+    assert.equal(notices.nextAt(NEXT_INCARNATION, 10), 10);
+    notices.tell(NEXT_INCARNATION, notice(), 20);
+    // a late answer of the earlier incarnation.
+    notices.tell(INCARNATION, LEAVES, 30);
+    assert.equal(notices.nextAt(NEXT_INCARNATION, 40), 40);
   });
 
-  test('is known by its id alone where its entry tells no time of start', () => {
+  test('is identified by its id alone if its start time is unknown', () => {
     const notices = createNotices();
     notices.tell({ id: 'p1' }, LEAVES, 0);
-    assert.equal(notices.isLeaving(START), true);
+    assert.equal(notices.isLeaving(INCARNATION), true);
   });
 });
 
-describe('a server that asks for rest', () => {
+describe('a server that requests a pause', () => {
   const cases = [
-    { name: 'is left alone for so long', ms: 3_000, at: 2_999, next: 3_000 },
-    { name: 'is asked again after it', ms: 3_000, at: 3_000, next: 3_000 },
-    { name: 'for no time is asked at once', ms: 0, at: 1, next: 1 },
-    { name: 'for ages is asked after ten minutes', ms: 1e12, at: 0, next: 600_000 },
+    { name: 'gets no requests during it', ms: 3_000, at: 2_999, next: 3_000 },
+    { name: 'gets requests again after it', ms: 3_000, at: 3_000, next: 3_000 },
+    { name: 'of zero length gets requests at once', ms: 0, at: 1, next: 1 },
+    { name: 'of excessive length gets requests after ten minutes', ms: 1e12, at: 0, next: 600_000 },
   ];
   for (const { name, ms, at, next } of cases) {
     test(name, () => {
       const notices = createNotices();
-      notices.tell(START, rests(ms), 0);
-      assert.equal(notices.nextAt(START, at), next);
+      notices.tell(INCARNATION, rests(ms), 0);
+      assert.equal(notices.nextAt(INCARNATION, at), next);
     });
   }
 
-  test('is told once for a rest, and rests as long as it said last', () => {
+  test('is reported once per pause, and pauses as long as it last requested', () => {
     const notices = createNotices();
-    assert.deepEqual(notices.tell(START, rests(3_000), 0), ['rests']);
-    assert.deepEqual(notices.tell(START, rests(3_000), 1_000), []);
-    assert.equal(notices.nextAt(START, 1_000), 4_000);
+    assert.deepEqual(notices.tell(INCARNATION, rests(3_000), 0), ['rests']);
+    assert.deepEqual(notices.tell(INCARNATION, rests(3_000), 1_000), []);
+    assert.equal(notices.nextAt(INCARNATION, 1_000), 4_000);
   });
 
-  test('is found back by one request at a time', () => {
+  test('is tested by one request at a time after the pause', () => {
     const notices = createNotices();
-    notices.tell(START, rests(1_000), 0);
-    notices.sent(START, 1_000);
-    assert.equal(notices.nextAt(START, 1_001), 1_500);
-    assert.equal(notices.nextAt(START, 1_500), 1_500);
+    notices.tell(INCARNATION, rests(1_000), 0);
+    notices.sent(INCARNATION, 1_000);
+    assert.equal(notices.nextAt(INCARNATION, 1_001), 1_500);
+    assert.equal(notices.nextAt(INCARNATION, 1_500), 1_500);
   });
 
-  // its answer came within the time of the single try and did not end it: one request each half second got through.
-  test('is used as usual once the request that finds out is answered', () => {
+  // Guards against an answer that arrives during the test period and does not end it, so that only one
+  // request is sent every half second.
+  test('is used normally once the test request is answered', () => {
     const notices = createNotices();
-    notices.tell(START, rests(1_000), 0);
-    notices.sent(START, 1_000);
-    assert.deepEqual(notices.tell(START, notice(), 1_005), ['back']);
-    notices.sent(START, 1_005);
-    assert.equal(notices.nextAt(START, 1_005), 1_005);
+    notices.tell(INCARNATION, rests(1_000), 0);
+    notices.sent(INCARNATION, 1_000);
+    assert.deepEqual(notices.tell(INCARNATION, notice(), 1_005), ['back']);
+    notices.sent(INCARNATION, 1_005);
+    assert.equal(notices.nextAt(INCARNATION, 1_005), 1_005);
   });
 
-  test('rests on when an earlier request is answered', () => {
+  test('stays in its pause when an earlier request is answered', () => {
     const notices = createNotices();
-    notices.tell(START, rests(1_000), 0);
-    assert.deepEqual(notices.tell(START, notice(), 500), []);
-    assert.equal(notices.nextAt(START, 500), 1_000);
+    notices.tell(INCARNATION, rests(1_000), 0);
+    assert.deepEqual(notices.tell(INCARNATION, notice(), 500), []);
+    assert.equal(notices.nextAt(INCARNATION, 500), 1_000);
   });
 
-  // the first of several requests that come long after a rest had all others refused.
-  test('is used as usual by an instance that comes back long after', () => {
+  // Guards against a first request long after a pause that has all others refused during its test.
+  test('is used normally by an instance that returns long after the pause', () => {
     const notices = createNotices();
-    notices.tell(START, rests(1_000), 0);
-    notices.sent(START, 3_001);
-    assert.equal(notices.nextAt(START, 3_001), 3_001);
+    notices.tell(INCARNATION, rests(1_000), 0);
+    notices.sent(INCARNATION, 3_001);
+    assert.equal(notices.nextAt(INCARNATION, 3_001), 3_001);
   });
 
-  // eighty instances that come back in the same moment would have it shed again.
-  test('gets its first requests one after the other', () => {
+  // Guards against overload after a pause: eighty instances that return at the same moment would make the
+  // server shed requests again.
+  test('gets its first requests one after another', () => {
     const times = [0, 0.5, 0.99].map((random) => {
       const notices = createNotices(random);
-      notices.tell(START, rests(3_000), 0);
-      return notices.nextAt(START, 0);
+      notices.tell(INCARNATION, rests(3_000), 0);
+      return notices.nextAt(INCARNATION, 0);
     });
     assert.deepEqual(times, [3_000, 3_375, 3_742.5]);
   });
 
-  test('in words that cannot be read is used on', () => {
+  test('with an invalid value stays in use', () => {
     const notices = createNotices();
     const unread = notice({ rest: { type: 'invalid', text: 'soon' } });
-    assert.deepEqual(notices.tell(START, unread, 0), ['rest-invalid']);
-    assert.equal(notices.nextAt(START, 1), 1);
+    assert.deepEqual(notices.tell(INCARNATION, unread, 0), ['rest-invalid']);
+    assert.equal(notices.nextAt(INCARNATION, 1), 1);
   });
 });
 
-test('what was said is forgotten when it cannot matter any more', () => {
+test('a reported status is removed when it can no longer apply', () => {
   const notices = createNotices();
-  notices.tell(START, LEAVES, 0);
+  notices.tell(INCARNATION, LEAVES, 0);
   notices.retain(new Set(), 599_999);
   assert.equal(notices.counts(599_999).leaving, 1);
   notices.retain(new Set(), 600_000);
--- a/test/routing/serverPool.test.ts
+++ b/test/routing/serverPool.test.ts
@@ -26,8 +26,8 @@
 }
 
 describe('leaving', () => {
-  // a caller sees refusals for seconds after a planned stop: the server answers 503 leaving, the
-  // next refresh of the lagging list shows it as live, and each refresh would send it new work.
+  // Guards against refusals for seconds after a planned stop: the server answers 503 leaving, but the
+  // delayed list still shows it as live, and each refresh would send it new requests.
   test('a list that still shows a server as live does not bring it back', () => {
     const pool = poolOf(['s1', 's2']);
     pool.settle(pool.dispatch('s1', 1), { end: 'leaving' }, 1);
@@ -53,7 +53,7 @@
       },
     },
     {
-      by: 'its own word',
+      by: 'its own report',
       leave: (pool: ServerPool) => {
         pool.markLeaving('s1');
       },
@@ -66,7 +66,7 @@
     },
   ];
   for (const { by, leave } of cases) {
-    test(`a server that leaves by ${by} gets no new work and keeps what runs`, () => {
+    test(`a server that leaves by ${by} gets no new requests and keeps the running ones`, () => {
       const pool = poolOf(['s1', 's2']);
       const running = pool.dispatch('s1', 0);
       leave(pool);
@@ -76,7 +76,7 @@
     });
   }
 
-  test('another instance under the same id is a new server', () => {
+  test('another server process under the same id is a new server', () => {
     const pool = poolOf(['s1']);
     pool.markLeaving('s1');
     pool.applyList([server('s1', { url: 'http://other' })], 1);
@@ -85,17 +85,18 @@
 });
 
 describe('load', () => {
-  // requests pile up on one server: the report says idle, but was taken before the last dispatches.
-  test('own dispatches after the report count on top of it', () => {
+  // Guards against requests that accumulate at one server: its report says idle, but was taken before the
+  // last dispatches.
+  test('own dispatches after the report are added to it', () => {
     const pool = poolOf(['s1'], 8);
     pool.dispatch('s1', 100);
     pool.dispatch('s1', 900);
     pool.reportLoad('s1', { running: 3, waiting: 0, at: 500 }, 1_000);
-    // two of the three reported are others', one is the first dispatch
+    // of the three reported requests, two are from other routers and one is the first dispatch
     assert.equal(pool.candidates({}, 1_000)[0]?.load, 4);
   });
 
-  test('an own attempt that ended after the report is taken off', () => {
+  test('an own attempt that ended after the report is subtracted', () => {
     const pool = poolOf(['s1'], 8);
     const attempt = pool.dispatch('s1', 100);
     pool.settle(attempt, { end: 'ok' }, 600);
@@ -103,7 +104,7 @@
     assert.equal(pool.candidates({}, 1_000)[0]?.load, 2);
   });
 
-  test('reports older than the last are ignored and stale ones forgotten', () => {
+  test('reports older than the last are ignored, and stale ones expire', () => {
     const pool = poolOf(['s1'], 8);
     pool.reportLoad('s1', { running: 1, waiting: 0, at: 900 }, 1_000);
     pool.reportLoad('s1', { running: 7, waiting: 0, at: 500 }, 1_001);
@@ -111,9 +112,9 @@
     assert.equal(pool.candidates({}, 20_000)[0]?.load, 0);
   });
 
-  // every request of one router waits until its deadline: its neighbour refills each free place
-  // before the next report, so that the server looks full in all of them.
-  test('a fair part of a full server stays open to each router', () => {
+  // Guards against a router whose requests all wait until their deadline: another router refills each free
+  // slot before the next report, so every report shows a full server.
+  test('each router may use a fair share of a full server', () => {
     const pool = poolOf(['s1'], 4);
     pool.reportLoad('s1', { running: 4, waiting: 2, at: 0 }, 0);
     assert.deepEqual(openIds(pool, 1), ['s1']);
@@ -138,7 +139,7 @@
     });
   }
 
-  test('an ejected server returns slowly', () => {
+  test('an ejected server returns gradually', () => {
     const pool = poolOf(['s1', 's2', 's3'], 20);
     failTimes(pool, 's1', 3, 0);
     const capacityAt = (now: number) =>
@@ -146,15 +147,15 @@
     assert.deepEqual([2_000, 7_000, 12_000].map(capacityAt), [2, 11, 20]);
   });
 
-  // all callers are refused although the servers are fine: the network dropped each connection for
-  // a moment, and every server was ejected.
-  test('most servers failing at once are not all taken out', () => {
+  // Guards against refusing all callers although the servers are healthy: the network briefly dropped
+  // every connection, and every server was ejected.
+  test('if most servers fail at once, they are not all ejected', () => {
     const pool = poolOf(['s1', 's2', 's3']);
     for (const id of ['s1', 's2', 's3']) failTimes(pool, id, 3, 0);
     assert.deepEqual(openIds(pool, 1), ['s1', 's2', 's3']);
   });
 
-  test('a server far slower than the median is ejected where that is switched on', () => {
+  test('a server far slower than the median is ejected if this is enabled', () => {
     const health = { slowFactor: 3 };
     const pool = new ServerPool({ dataCentre: 'dc-a', concurrencyPerServer: 50, health });
     pool.applyList(
@@ -191,10 +192,16 @@
     return pool.capacity(1e9);
   }
 
-  // nearly all requests miss their deadline, for hours: operators declared more requests at once
-  // than the servers' memory holds. What times out has to count, as hardly anything is answered.
+  // Guards against hours in which nearly all requests miss their deadline: operators declared more
+  // concurrent requests than fit into the memory of the servers. Timeouts must count, because almost
+  // nothing is answered.
   const cases = [
-    { name: 'answers within the target leave it', end: 'ok', firstTokenMs: 400, expected: 20 },
+    {
+      name: 'answers within the target leave it unchanged',
+      end: 'ok',
+      firstTokenMs: 400,
+      expected: 20,
+    },
     { name: 'late answers lower it', end: 'ok', firstTokenMs: 600, expected: 14 },
     { name: 'timeouts lower it', end: 'timeout', firstTokenMs: undefined, expected: 14 },
   ] as const;
@@ -205,7 +212,7 @@
   }
 });
 
-test('places kept free and places beyond the limit', () => {
+test('reserved slots and slots beyond the limit', () => {
   const pool = poolOf(['s1', 's2'], 4);
   for (let i = 0; i < 4; i += 1) pool.dispatch('s1', 0);
   for (let i = 0; i < 3; i += 1) pool.dispatch('s2', 0);
@@ -217,7 +224,7 @@
 });
 
 describe('requests that run alone', () => {
-  test('get an idle server and keep others off it', () => {
+  test('get an idle server and block others from it', () => {
     const pool = poolOf(['s1', 's2']);
     pool.dispatch('s1', 0);
     assert.deepEqual(openIds(pool, 0, true), ['s2']);
@@ -227,8 +234,8 @@
     assert.deepEqual(openIds(pool, 2), ['s1', 's2']);
   });
 
-  // a suspect request waits for ever: under load no server is ever idle by itself.
-  test('in a busy pool one server is kept free of new work until it is idle', () => {
+  // Guards against a suspect that waits for ever: under load no server becomes idle by itself.
+  test('in a busy pool one server gets no new requests until it is idle', () => {
     const pool = poolOf(['s1', 's2']);
     const first = pool.dispatch('s1', 0);
     pool.dispatch('s2', 0);
@@ -239,7 +246,7 @@
     assert.deepEqual(openIds(pool, 2, true), ['s1']);
   });
 
-  test('a held server comes back when nobody claims it', () => {
+  test('a held server becomes available again if no request claims it', () => {
     const pool = poolOf(['s1', 's2']);
     for (const id of ['s1', 's2']) pool.dispatch(id, 0);
     openIds(pool, 1, true);
--- a/test/routing/serverRateLimits.test.ts
+++ b/test/routing/serverRateLimits.test.ts
@@ -7,7 +7,7 @@
 const none: ToldRateLimit = { type: 'none' };
 const invalid: ToldRateLimit = { type: 'invalid', text: '-1' };
 
-describe('the limit that is known after the answers of a server', () => {
+describe('the known limit after several answers of a server', () => {
   const cases: readonly {
     name: string;
     told: ToldRateLimit[];
@@ -15,16 +15,16 @@
     known: number | undefined;
   }[] = [
     { name: 'none', told: [none], changes: [undefined], known: undefined },
-    { name: 'named once', told: [limit(2)], changes: ['named'], known: 2 },
+    { name: 'reported once', told: [limit(2)], changes: ['named'], known: 2 },
     {
-      name: 'said again, then changed',
+      name: 'repeated, then changed',
       told: [limit(2), limit(2), limit(3)],
       changes: ['named', undefined, 'changed'],
       known: 3,
     },
     { name: 'ended', told: [limit(2), none], changes: ['named', 'ended'], known: undefined },
     {
-      name: 'kept over answers that cannot be read, which are told once',
+      name: 'unchanged by invalid values, which are reported once',
       told: [limit(2), invalid, invalid, limit(2), invalid],
       changes: ['named', 'invalid', undefined, undefined, 'invalid'],
       known: 2,
@@ -42,7 +42,7 @@
   }
 });
 
-test('an outage of the list does not make an instance forget limits', () => {
+test('an instance keeps the limits during an outage of the list', () => {
   const limits = new ServerRateLimits(() => 0.5);
   limits.tell('p1', limit(2), 0);
   limits.retain(new Set(), 5_000);
