--- a/packages/core/src/runtime/admission/admissionQueue.ts
+++ b/packages/core/src/runtime/admission/admissionQueue.ts
@@ -74,7 +74,7 @@
    * full.
    */
   offer(entry: QueueEntry, now: EpochMs): OfferResult {
-    const late = this.#judge(entry, this.predictWaitMs(entry, now), now);
+    const late = this.#checkDeadline(entry, this.predictWaitMs(entry, now), now);
     if (late) return { queued: false, shed: [late] };
     this.#discipline.add(entry);
     const shed = this.#shedOverflow(now);
@@ -92,7 +92,7 @@
     for (;;) {
       const entry = this.#discipline.take(canPlace);
       if (!entry) return { shed };
-      const late = this.#judge(entry, 0, now);
+      const late = this.#checkDeadline(entry, 0, now);
       if (!late) {
         this.#recordTake(entry, now);
         return { entry, shed };
@@ -148,7 +148,7 @@
     return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, ms));
   }
 
-  #judge(entry: QueueEntry, waitMs: number, now: EpochMs): ShedEntry | undefined {
+  #checkDeadline(entry: QueueEntry, waitMs: number, now: EpochMs): ShedEntry | undefined {
     if (entry.deadline <= now) return { entry, reason: 'deadline-passed' };
     if (!this.#refuseUnreachable) return undefined;
     if (now + waitMs + (entry.serviceMs ?? 0) <= entry.deadline) return undefined;
--- a/packages/core/src/runtime/quarantine/crashEvidence.ts
+++ b/packages/core/src/runtime/quarantine/crashEvidence.ts
@@ -28,7 +28,7 @@
 /**
  * How long a cause is refused at first, in milliseconds. It may only have run beside the real cause.
  */
-const FIRST_REFUSAL_MS = 10 * MS_PER_MINUTE;
+const CERTAIN_REFUSAL_MS = 10 * MS_PER_MINUTE;
 /**
  * The same if servers crashed without it as well, or if another request may be the cause, in
  * milliseconds.
@@ -149,7 +149,7 @@
 
 function refusalMs(crashes: readonly CrashRecord[], proof: Proof): number {
   if (crashedAfterRefusal(crashes)) return REPEATED_REFUSAL_MS;
-  return proof === 'sure' ? FIRST_REFUSAL_MS : UNCERTAIN_REFUSAL_MS;
+  return proof === 'sure' ? CERTAIN_REFUSAL_MS : UNCERTAIN_REFUSAL_MS;
 }
 
 /** Whether it ran again after a refusal and crashed another server. */
--- a/packages/core/src/runtime/quarantine/quarantine.ts
+++ b/packages/core/src/runtime/quarantine/quarantine.ts
@@ -100,7 +100,7 @@
     const own = entries[fingerprint];
     entries[fingerprint] = own ? joinEntries(own, other) : other;
   }
-  return bound({ entries }, now);
+  return limitEntries({ entries }, now);
 }
 
 /**
@@ -134,7 +134,7 @@
     const crashes = [...countedCrashes(entry, now), { server, at: now }].toSorted(byTime);
     entries[fingerprint] = { ...entry, crashes: crashes.slice(-MAX_CRASHES) };
   }
-  return bound({ entries }, now);
+  return limitEntries({ entries }, now);
 }
 
 function recordCrash(
@@ -153,7 +153,7 @@
     const isCause = onlySuspect && provesCause(crashes);
     entries[fingerprint] = { ...entry, crashes, ...(isCause ? { quarantinedAt: now } : {}) };
   }
-  return bound({ entries }, now);
+  return limitEntries({ entries }, now);
 }
 
 function provesCause(crashes: CrashRecord[]): boolean {
@@ -196,13 +196,13 @@
   entry: QuarantineEntry,
   now: EpochMs,
 ): QuarantineState {
-  return bound({ entries: { ...state.entries, [fingerprint]: entry } }, now);
+  return limitEntries({ entries: { ...state.entries, [fingerprint]: entry } }, now);
 }
 
 /** Above the maximum, removes entries without effect and then the oldest suspects. */
-function bound(state: QuarantineState, now: EpochMs): QuarantineState {
+function limitEntries(state: QuarantineState, now: EpochMs): QuarantineState {
   if (Object.keys(state.entries).length <= MAX_ENTRIES) return state;
-  const kept = Object.entries(state.entries).filter(([, entry]) => isUseful(entry, now));
+  const kept = Object.entries(state.entries).filter(([, entry]) => isWorthKeeping(entry, now));
   const ranked = kept.sort(
     ([, a], [, b]) =>
       Number(isRemembered(b, now)) - Number(isRemembered(a, now)) || lastSeen(b) - lastSeen(a),
@@ -211,7 +211,7 @@
 }
 
 /** A cleared entry is kept for a while, to override an older crash in a delayed hint from a peer. */
-function isUseful(entry: QuarantineEntry, now: EpochMs): boolean {
+function isWorthKeeping(entry: QuarantineEntry, now: EpochMs): boolean {
   return isRemembered(entry, now) || now - lastSeen(entry) < SUSPECT_MS;
 }
 
--- a/packages/core/src/runtime/routing/sendShare.ts
+++ b/packages/core/src/runtime/routing/sendShare.ts
@@ -13,8 +13,8 @@
  * each starts at a random offset within its first interval.
  *
  * @example
- * const share = new SendShare(4_000, now, random);
- * if (share.nextAt(now) <= now) share.take(now);
+ * const pacer = new SendPacer(4_000, now, random);
+ * if (pacer.nextAt(now) <= now) pacer.take(now);
  */
 export class SendPacer {
   #intervalMs: number;
--- a/packages/core/src/runtime/routing/serverNotices.ts
+++ b/packages/core/src/runtime/routing/serverNotices.ts
@@ -86,14 +86,14 @@
    * {@link ServerRateLimits.tell}.
    */
   tell(start: ServerStart, { leaving, rest }: ServerNotice, now: EpochMs): NoticeChange[] {
-    const server = this.#of(start);
+    const server = this.#getOrCreate(start);
     const changes: NoticeChange[] = [];
     if (leaving && server.leavingSince === undefined) {
       server.leavingSince = now;
       changes.push('leaving');
     }
     if (rest.type === 'invalid') changes.push('rest-invalid');
-    if (rest.type === 'rest' && this.#rest(server, rest.ms, now)) changes.push('rests');
+    if (rest.type === 'rest' && this.#recordPause(server, rest.ms, now)) changes.push('rests');
     // an answer received during a pause may belong to an earlier request and does not end the pause.
     if (rest.type === 'none' && server.rest && server.rest.until <= now) {
       server.rest = undefined;
@@ -162,7 +162,7 @@
   }
 
   /** Records a requested pause. Returns whether the server was not in a pause before. */
-  #rest(server: KnownServer, ms: number, now: EpochMs): boolean {
+  #recordPause(server: KnownServer, ms: number, now: EpochMs): boolean {
     if (ms <= 0) return false;
     const bounded = Math.min(ms, MAX_PAUSE_MS);
     const spreadMs = Math.min(PAUSE_JITTER * bounded, MAX_PAUSE_JITTER_MS);
@@ -177,7 +177,7 @@
     return known && isSameStart(known.bornAt, bornAt) ? known : undefined;
   }
 
-  #of(start: ServerStart): KnownServer {
+  #getOrCreate(start: ServerStart): KnownServer {
     const found = this.#find(start);
     if (found) return found;
     const created = { bornAt: start.bornAt, leavingSince: undefined, rest: undefined };
--- a/packages/core/src/runtime/routing/serverPool.ts
+++ b/packages/core/src/runtime/routing/serverPool.ts
@@ -363,12 +363,12 @@
     const idle = open.filter((entry) => entry.load.own === 0);
     const free = idle.filter((entry) => entry === held || entry.load.others(now) === 0);
     if (free.length > 0) return free.map((entry) => this.#toCandidate(entry, now));
-    if (!held) this.#hold(open, now);
+    if (!held) this.#holdServer(open, now);
     return [];
   }
 
   /** Reserves the least loaded server for the exclusive request: it gets no other requests. */
-  #hold(open: ServerEntry[], now: EpochMs): void {
+  #holdServer(open: ServerEntry[], now: EpochMs): void {
     // never the only server: other requests would wait for a request that may crash it.
     if (open.length < 2) return;
     const local = open.filter((entry) => this.#isLocal(entry));
