--- a/packages/core/src/runtime/admission/admissionQueue.ts
+++ b/packages/core/src/runtime/admission/admissionQueue.ts
@@ -85,7 +85,9 @@
    * Removes the next request that can be placed and can still meet its deadline.
    *
    * @example
-   * const { entry, shed } = queue.take(now, (importance, owed) => pool.hasRoom(reserve.ruleFor(importance, owed), now));
+   * const { entry, shed } = queue.take(now, (importance, isMinimumShareTurn) =>
+   *   pool.hasRoom(reserve.ruleFor(importance, isMinimumShareTurn), now),
+   * );
    */
   take(now: EpochMs, canPlace: PlacementTest = () => true): TakeResult {
     const shed: ShedEntry[] = [];
--- a/packages/core/src/runtime/admission/importanceReserve.ts
+++ b/packages/core/src/runtime/admission/importanceReserve.ts
@@ -56,7 +56,9 @@
  *
  * @example
  * reserve.sample('first', firstTokenMs > targetMs);
- * queue.take(now, (importance, owed) => pool.hasRoom(reserve.ruleFor(importance, owed), now));
+ * queue.take(now, (importance, isMinimumShareTurn) =>
+ *   pool.hasRoom(reserve.ruleFor(importance, isMinimumShareTurn), now),
+ * );
  */
 export class ImportanceReserve {
   readonly #settings: ImportanceReserveSettings;
@@ -77,9 +79,9 @@
   }
 
   /** Slots that a request may use; no reserve applies if it is due by its minimum share. */
-  ruleFor(importance: Importance, owed = false): PlacementRule {
+  ruleFor(importance: Importance, isMinimumShareTurn = false): PlacementRule {
     if (importance === 'first') return { keptFree: 0, extra: this.#settings.extraForFirst };
-    return { keptFree: owed ? 0 : this.#keptFreeBy(importance), extra: 0 };
+    return { keptFree: isMinimumShareTurn ? 0 : this.#keptFreeBy(importance), extra: 0 };
   }
 
   #keptFreeBy(importance: 'standard' | 'background'): number {
--- a/packages/core/src/runtime/admission/queueDiscipline.ts
+++ b/packages/core/src/runtime/admission/queueDiscipline.ts
@@ -18,10 +18,10 @@
 export type QueueDisciplineName = 'fifo' | 'importance-deadline';
 
 /**
- * Whether a request of this importance can be placed now. `owed` means that it is due by the minimum
- * share of its importance, so no reserve applies.
+ * Whether a request of this importance can be placed now. `isMinimumShareTurn` means that it is due by
+ * the minimum share of its importance, so no reserve applies.
  */
-export type PlacementTest = (importance: Importance, owed: boolean) => boolean;
+export type PlacementTest = (importance: Importance, isMinimumShareTurn: boolean) => boolean;
 
 /** An ordered set of waiting requests. */
 export abstract class QueueDiscipline {
@@ -183,10 +183,10 @@
 
   #nextLane(canPlace: PlacementTest): Lane | undefined {
     const waiting = this.#lanes.filter((lane) => lane.queue.length > 0);
-    const owed = waiting.findLast(
+    const dueLane = waiting.findLast(
       (lane) => this.#isDueByMinimumShare(lane) && canPlace(lane.importance, true),
     );
-    return owed ?? waiting.find((lane) => canPlace(lane.importance, false));
+    return dueLane ?? waiting.find((lane) => canPlace(lane.importance, false));
   }
 
   #isDueByMinimumShare(lane: Lane): boolean {
--- a/packages/core/src/runtime/news/chooseListeners.ts
+++ b/packages/core/src/runtime/news/chooseListeners.ts
@@ -10,7 +10,7 @@
  *
  * @param random numbers from 0 (included) to 1 (excluded).
  * @example
- * for (const peer of chooseListeners(others, 'hall-a', 4, Math.random)) tell(peer);
+ * for (const peer of chooseListeners(others, 'hall-a', 4, Math.random)) exchange(peer);
  */
 export function chooseListeners(
   others: readonly FleetInstance[],
--- a/packages/core/src/runtime/routing/keptServers.ts
+++ b/packages/core/src/runtime/routing/keptServers.ts
@@ -40,7 +40,9 @@
  *
  * @example
  * kept.keep('p1', now + 2_200, now);
- * for (const id of kept.takeToAsk(now)) ask(id).then((word) => kept.hear(id, word, later()));
+ * for (const id of kept.takeToAsk(now)) {
+ *   probe(id).then((result) => kept.hear(id, result, Date.now()));
+ * }
  */
 export class KeptServers {
   readonly #servers = new Map<ServerId, KeptServer>();
@@ -51,9 +53,7 @@
 
   /** Time of the next probe or expiry; infinite if no server is kept. */
   get nextAt(): EpochMs {
-    const times = [...this.#servers.values()].map(({ until, probeAt: askAt }) =>
-      Math.min(until, askAt),
-    );
+    const times = [...this.#servers.values()].map(({ until, probeAt }) => Math.min(until, probeAt));
     return Math.min(...times);
   }
 
@@ -78,18 +78,18 @@
 
   /** Takes the servers to probe now; none of them is returned again before its probe has ended. */
   takeToAsk(now: EpochMs): ServerId[] {
-    const due = [...this.#servers].filter(([, { probeAt: askAt }]) => askAt <= now);
+    const due = [...this.#servers].filter(([, { probeAt }]) => probeAt <= now);
     for (const [, server] of due) server.probeAt = Infinity;
     return due.map(([id]) => id);
   }
 
   /** Records the result of a probe. Returns whether the server remains kept. */
-  hear(id: ServerId, word: ServerWord, now: EpochMs): boolean {
+  hear(id: ServerId, result: ServerWord, now: EpochMs): boolean {
     const known = this.#servers.get(id);
     if (!known) return false;
-    known.lastWord = word;
+    known.lastWord = result;
     known.probeAt = now + PROBE_INTERVAL_MS;
-    return word !== 'leaving' && word !== 'gone';
+    return result !== 'leaving' && result !== 'gone';
   }
 
   /** Servers that were kept for the maximum time. */
--- a/packages/core/src/runtime/routing/quickEngineChooser.ts
+++ b/packages/core/src/runtime/routing/quickEngineChooser.ts
@@ -45,8 +45,8 @@
 function excludeSlowEngines(
   candidates: readonly [Candidate, ...Candidate[]],
 ): readonly [Candidate, ...Candidate[]] {
-  const quickest = Math.min(...candidates.map(({ eventMs }) => eventMs ?? Infinity));
-  const isSlow = ({ eventMs = 0 }: Candidate): boolean => eventMs > SLOW_FACTOR * quickest;
+  const fastest = Math.min(...candidates.map(({ eventMs }) => eventMs ?? Infinity));
+  const isSlow = ({ eventMs = 0 }: Candidate): boolean => eventMs > SLOW_FACTOR * fastest;
   const [first, ...rest] = candidates.filter((candidate) => !isSlow(candidate));
   const remaining = first ? 1 + rest.length : 0;
   return first && remaining >= MIN_REMAINING_FRACTION * candidates.length
--- a/packages/core/src/runtime/routing/sendShare.ts
+++ b/packages/core/src/runtime/routing/sendShare.ts
@@ -52,8 +52,8 @@
   }
 
   #dropExpired(now: EpochMs): void {
-    const lapsedMs = now - SLOT_EXPIRY_MS - this.#dueAt;
-    if (lapsedMs <= 0) return;
-    this.#dueAt += Math.ceil(lapsedMs / this.#intervalMs) * this.#intervalMs;
+    const expiredMs = now - SLOT_EXPIRY_MS - this.#dueAt;
+    if (expiredMs <= 0) return;
+    this.#dueAt += Math.ceil(expiredMs / this.#intervalMs) * this.#intervalMs;
   }
 }
--- a/packages/core/src/runtime/routing/serverRateLimits.ts
+++ b/packages/core/src/runtime/routing/serverRateLimits.ts
@@ -53,7 +53,7 @@
 /** Limit of one server. */
 interface KnownLimit {
   perSecond: number;
-  heardAt: EpochMs;
+  reportedAt: EpochMs;
   pacer: SendPacer;
 }
 
@@ -101,30 +101,28 @@
 
   /** Maximum requests per second that this instance sends to them. */
   get ownPerSecond(): number {
-    const shares = [...this.#limits.values()].map(
-      ({ pacer: share }) => MS_PER_SECOND / share.intervalMs,
-    );
+    const shares = [...this.#limits.values()].map(({ pacer }) => MS_PER_SECOND / pacer.intervalMs);
     return sum(shares);
   }
 
   /** Sets how many instances share each limit, including this one. */
   setSharers(count: number, now: EpochMs): void {
     this.#sharers = Math.max(1, count);
-    for (const { pacer: share, perSecond } of this.#limits.values()) {
-      share.setInterval(this.#intervalMs(perSecond), now);
+    for (const { pacer, perSecond } of this.#limits.values()) {
+      pacer.setInterval(this.#intervalMs(perSecond), now);
     }
   }
 
   /** Records what an answer of a server reports. */
-  tell(id: ServerId, told: ToldRateLimit, now: EpochMs): RateLimitChange | undefined {
-    if (told.type === 'invalid') {
+  tell(id: ServerId, reported: ToldRateLimit, now: EpochMs): RateLimitChange | undefined {
+    if (reported.type === 'invalid') {
       const isNew = !this.#invalid.has(id);
       this.#invalid.add(id);
       return isNew ? 'invalid' : undefined;
     }
     this.#invalid.delete(id);
-    if (told.type === 'none') return this.#limits.delete(id) ? 'ended' : undefined;
-    return this.#learn(id, told.perSecond, now);
+    if (reported.type === 'none') return this.#limits.delete(id) ? 'ended' : undefined;
+    return this.#learn(id, reported.perSecond, now);
   }
 
   /** Whether a server has a rate limit. */
@@ -141,10 +139,10 @@
    * Combined pace of servers that all have a limit; undefined if one has none, or if `ids` is empty.
    */
   pace(ids: readonly ServerId[], now: EpochMs): RateLimitPace | undefined {
-    const shares = ids.flatMap((id) => this.#limits.get(id)?.pacer ?? []);
-    if (shares.length === 0 || shares.length < ids.length) return undefined;
-    const firstAt = Math.min(...shares.map((share) => share.nextAt(now)));
-    const perMs = sum(shares.map(({ intervalMs }) => 1 / intervalMs));
+    const pacers = ids.flatMap((id) => this.#limits.get(id)?.pacer ?? []);
+    if (pacers.length === 0 || pacers.length < ids.length) return undefined;
+    const firstAt = Math.min(...pacers.map((pacer) => pacer.nextAt(now)));
+    const perMs = sum(pacers.map(({ intervalMs }) => 1 / intervalMs));
     return { firstMs: Math.max(0, firstAt - now), intervalMs: 1 / perMs };
   }
 
@@ -159,7 +157,7 @@
     if (!known) return undefined;
     return {
       limitPerSecond: known.perSecond,
-      limitAgeMs: Math.round(now - known.heardAt),
+      limitAgeMs: Math.round(now - known.reportedAt),
       limitSharers: this.#sharers,
       limitIntervalMs: Math.round(known.pacer.intervalMs),
     };
@@ -168,8 +166,8 @@
   /** Removes unlisted servers that have not reported a limit for a long time. */
   retain(listed: ReadonlySet<ServerId>, now: EpochMs): void {
     for (const id of this.#invalid) if (!listed.has(id)) this.#invalid.delete(id);
-    for (const [id, { heardAt }] of this.#limits) {
-      if (!listed.has(id) && now - heardAt > FORGET_MS) this.#limits.delete(id);
+    for (const [id, { reportedAt }] of this.#limits) {
+      if (!listed.has(id) && now - reportedAt > FORGET_MS) this.#limits.delete(id);
     }
   }
 
@@ -177,11 +175,11 @@
     const known = this.#limits.get(id);
     const intervalMs = this.#intervalMs(perSecond);
     if (!known) {
-      const share = new SendPacer(intervalMs, now, this.#random());
-      this.#limits.set(id, { perSecond, heardAt: now, pacer: share });
+      const pacer = new SendPacer(intervalMs, now, this.#random());
+      this.#limits.set(id, { perSecond, reportedAt: now, pacer });
       return 'named';
     }
-    known.heardAt = now;
+    known.reportedAt = now;
     if (known.perSecond === perSecond) return undefined;
     known.perSecond = perSecond;
     known.pacer.setInterval(intervalMs, now);
--- a/test/routing/crashEvidence.test.ts
+++ b/test/routing/crashEvidence.test.ts
@@ -136,7 +136,7 @@
   for (const { name, refused, ...shape } of cases) {
     test(`${name}: at most ${String(MAX_CRASHED)} servers crash, few other requests are refused`, () => {
       const runs = play(shape);
-      const ended = Math.max(0, ...runs.flatMap(({ crashedBy: endedBy }) => endedBy));
+      const ended = Math.max(0, ...runs.flatMap(({ crashedBy }) => crashedBy));
       const sent = runs.reduce((sum, run) => sum + run.sent, 0);
       const wrong = runs.reduce((sum, run) => sum + run.refused, 0);
       assert.ok(ended <= MAX_CRASHED, `${String(ended)} servers`);
--- a/test/routing/keptServers.test.ts
+++ b/test/routing/keptServers.test.ts
@@ -12,16 +12,16 @@
 }
 
 describe('a server whose entry is missing', () => {
-  const words: readonly { word: ServerWord; stillKept: boolean }[] = [
-    { word: 'staying', stillKept: true },
+  const results: readonly { result: ServerWord; stillKept: boolean }[] = [
+    { result: 'staying', stillKept: true },
     // a busy server may not answer in time. Dropping all such servers after an outage would leave none.
-    { word: 'unknown', stillKept: true },
-    { word: 'leaving', stillKept: false },
-    { word: 'gone', stillKept: false },
+    { result: 'unknown', stillKept: true },
+    { result: 'leaving', stillKept: false },
+    { result: 'gone', stillKept: false },
   ];
-  for (const { word, stillKept } of words) {
-    test(`is ${stillKept ? 'kept' : 'not kept'} when the probe result is: ${word}`, () => {
-      assert.equal(keep('p1').hear('p1', word, 5), stillKept);
+  for (const { result, stillKept } of results) {
+    test(`is ${stillKept ? 'kept' : 'not kept'} when the probe result is: ${result}`, () => {
+      assert.equal(keep('p1').hear('p1', result, 5), stillKept);
     });
   }
 
