--- a/packages/core/src/runtime/admission/admissionQueue.ts
+++ b/packages/core/src/runtime/admission/admissionQueue.ts
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Adds a request. Sheds it if it cannot meet its deadline, or the least valuable request if the queue is
-   * full.
+   * Adds a request. Sheds it if it cannot meet its deadline, or the least valuable request if the
+   * queue is full.
    */
   offer(entry: QueueEntry, now: EpochMs): OfferResult {
     const late = this.#checkDeadline(entry, this.predictWaitMs(entry, now), now);
--- a/packages/core/src/runtime/admission/drainRate.ts
+++ b/packages/core/src/runtime/admission/drainRate.ts
@@ -8,8 +8,8 @@
 const MAX_AGE_MS = 30_000;
 
 /**
- * Counts takes from a queue that has a backlog. Without a backlog, takes would show the arrival rate
- * instead.
+ * Counts takes from a queue that has a backlog. Without a backlog, takes would show the arrival
+ * rate instead.
  */
 export class DrainRate {
   #takes: EpochMs[] = [];
--- a/packages/core/src/runtime/admission/importanceReserve.ts
+++ b/packages/core/src/runtime/admission/importanceReserve.ts
@@ -15,9 +15,9 @@
   /** Factor applied after a window that met the target. @default 0.9 */
   decay: number;
   /**
-   * Fraction of a server's slots that requests of the first importance may use beyond its limit. These
-   * requests wait in the server's own queue, which serves them by priority. They get the first slot
-   * that becomes free there, even if another router was using it. @default 0.5
+   * Fraction of a server's slots that requests of the first importance may use beyond its limit.
+   * These requests wait in the server's own queue, which serves them by priority. They get the
+   * first slot that becomes free there, even if another router was using it. @default 0.5
    */
   extraForFirst: 0.5;
 }
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Records whether a request missed its target, measured from its arrival. A request that was refused
-   * because no slot was free counts as a miss.
+   * Records whether a request missed its target, measured from its arrival. A request that was
+   * refused because no slot was free counts as a miss.
    */
   sample(importance: Importance, missed: boolean): void {
     if (importance === 'first') this.#forFirst.sample(missed, this.#settings);
--- a/packages/core/src/runtime/admission/queueDiscipline.ts
+++ b/packages/core/src/runtime/admission/queueDiscipline.ts
@@ -18,8 +18,8 @@
 export type QueueDisciplineName = 'fifo' | 'importance-deadline';
 
 /**
- * Whether a request of this importance can be placed now. `isMinimumShareTurn` means that it is due by
- * the minimum share of its importance, so no reserve applies.
+ * Whether a request of this importance can be placed now. `isMinimumShareTurn` means that it is due
+ * by the minimum share of its importance, so no reserve applies.
  */
 export type PlacementTest = (importance: Importance, isMinimumShareTurn: boolean) => boolean;
 
@@ -109,9 +109,9 @@
 /**
  * Serves more important requests first and, at equal importance, the earliest deadline first.
  *
- * Less important lanes keep a minimum share of takes and of the queue, so that under overload they are
- * slow but never starve. Aging is not used: under lasting overload every request gets old, and the
- * order becomes first in, first out, just when importance matters.
+ * Less important lanes keep a minimum share of takes and of the queue, so that under overload they
+ * are slow but never starve. Aging is not used: under lasting overload every request gets old, and
+ * the order becomes first in, first out, just when importance matters.
  */
 export class ImportanceDeadlineDiscipline extends QueueDiscipline {
   override readonly name = 'importance-deadline';
--- a/packages/core/src/runtime/admission/serviceTime.ts
+++ b/packages/core/src/runtime/admission/serviceTime.ts
@@ -38,12 +38,13 @@
 }
 
 /**
- * Time within which nearly all requests of the class end, in milliseconds; 0 while unknown. With the
- * mean alone, half of the requests sent just before their deadline would be cut off, and the work
- * already done for them would be lost.
+ * Time within which nearly all requests of the class end, in milliseconds; 0 while unknown. With
+ * the mean alone, half of the requests sent just before their deadline would be cut off, and the
+ * work already done for them would be lost.
  *
- * The expected time decays while no answer arrives. After an incident it can exceed the deadline of the
- * class; every request is then refused, none ends, and without decay it would never be corrected.
+ * The expected time decays while no answer arrives. After an incident it can exceed the deadline of
+ * the class; every request is then refused, none ends, and without decay it would never be
+ * corrected.
  */
 export function cautiousServiceMs(known: ServiceTime | undefined, now: EpochMs): number {
   if (!known) return 0;
--- a/packages/core/src/runtime/news/chooseListeners.ts
+++ b/packages/core/src/runtime/news/chooseListeners.ts
@@ -4,9 +4,9 @@
 import type { FleetInstance } from '../../types/prepaid.js';
 
 /**
- * Picks peers at random. One is from another data centre and the rest are local, because traffic between
- * data centres costs more but must reach each of them. More remote peers are picked only if there
- * are too few local ones.
+ * Picks peers at random. One is from another data centre and the rest are local, because traffic
+ * between data centres costs more but must reach each of them. More remote peers are picked only if
+ * there are too few local ones.
  *
  * @param random numbers from 0 (included) to 1 (excluded).
  * @example
--- a/packages/core/src/runtime/news/newsLog.ts
+++ b/packages/core/src/runtime/news/newsLog.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Facts by origin. The facts of an origin are sent in the order of their sequence numbers, so the last
- * number of each origin describes everything that an instance knows.
+ * Facts by origin. The facts of an origin are sent in the order of their sequence numbers, so the
+ * last number of each origin describes everything that an instance knows.
  *
  * @example
  * log.add({ type: 'finished', fingerprint }, now);
--- a/packages/core/src/runtime/quarantine/crashEvidence.ts
+++ b/packages/core/src/runtime/quarantine/crashEvidence.ts
@@ -1,6 +1,6 @@
 /**
- * Distinguishes a request that crashes its servers from requests that only ran beside it. This applies
- * where servers run dozens of requests at once and no instance sees all of them.
+ * Distinguishes a request that crashes its servers from requests that only ran beside it. This
+ * applies where servers run dozens of requests at once and no instance sees all of them.
  */
 
 import type { EpochMs, ServerId } from '../../types/ids.js';
@@ -12,7 +12,9 @@
   QuarantineState,
 } from '../../types/quarantine.js';
 
-/** Minimum number of servers that crashed with a request in flight before it counts as the cause. */
+/**
+ * Minimum number of servers that crashed with a request in flight before it counts as the cause.
+ */
 const MIN_CRASHED_SERVERS = 3;
 /** Number of crashed servers at which it counts as the cause regardless of other crashes. */
 const CERTAIN_CRASHED_SERVERS = 5;
@@ -26,7 +28,8 @@
 /** How long a request stays a suspect, in milliseconds. */
 export const SUSPECT_MS = 10 * MS_PER_MINUTE;
 /**
- * How long a cause is refused at first, in milliseconds. It may only have run beside the real cause.
+ * How long a cause is refused at first, in milliseconds. It may only have run beside the real
+ * cause.
  */
 const CERTAIN_REFUSAL_MS = 10 * MS_PER_MINUTE;
 /**
@@ -56,9 +59,9 @@
 type Proof = 'none' | 'unsure' | 'sure';
 
 /**
- * Remaining milliseconds for which a request is refused as the cause of crashes; 0 if it is not known to
- * be a cause. All instances that know of the same crashes get the same result, whichever instance
- * observed them.
+ * Remaining milliseconds for which a request is refused as the cause of crashes; 0 if it is not
+ * known to be a cause. All instances that know of the same crashes get the same result, whichever
+ * instance observed them.
  *
  * @example
  * if (refusedForMs(state, fingerprint, now) > 0) refuse();
@@ -119,8 +122,8 @@
 }
 
 /**
- * Whether another request that is at least as likely the cause was in flight at this server. Two requests
- * that always run together are both refused once each reaches `CERTAIN_CRASHED_SERVERS`.
+ * Whether another request that is at least as likely the cause was in flight at this server. Two
+ * requests that always run together are both refused once each reaches `CERTAIN_CRASHED_SERVERS`.
  */
 function isExplained(
   server: ServerId,
--- a/packages/core/src/runtime/quarantine/quarantine.ts
+++ b/packages/core/src/runtime/quarantine/quarantine.ts
@@ -19,7 +19,9 @@
 
 /** Maximum number of fingerprints; above it the oldest suspects are removed first. */
 const MAX_ENTRIES = 1_024;
-/** Fingerprints left after removal; fewer than the maximum, so that not every addition sorts all. */
+/**
+ * Fingerprints left after removal; fewer than the maximum, so that not every addition sorts all.
+ */
 const ENTRIES_AFTER_BOUND = 896;
 const MAX_CRASHES = 8;
 /** Consecutive crashes that quarantine a request even if the service has a single server. */
@@ -54,12 +56,13 @@
 /**
  * Applies an event that a router observed.
  *
- * After a first crash, every request that was in flight is a suspect. Suspects run alone, so innocent
- * ones finish and are cleared. A suspect that was alone in a crash on another server is the cause. A
- * suspect whose second crash had other requests in flight is the cause only if none of these was a
- * suspect too. Otherwise two requests that crashed together at two routers could not be
- * distinguished, and the innocent one would be refused for a day. If several routers report the same
- * crash, none of them saw all requests in flight: the crash only adds evidence (see `crashEvidence`).
+ * After a first crash, every request that was in flight is a suspect. Suspects run alone, so
+ * innocent ones finish and are cleared. A suspect that was alone in a crash on another server is
+ * the cause. A suspect whose second crash had other requests in flight is the cause only if none of
+ * these was a suspect too. Otherwise two requests that crashed together at two routers could not be
+ * distinguished, and the innocent one would be refused for a day. If several routers report the
+ * same crash, none of them saw all requests in flight: the crash only adds evidence (see
+ * `crashEvidence`).
  */
 export function reduceQuarantine(
   state: QuarantineState,
@@ -84,8 +87,8 @@
 }
 
 /**
- * Merges the states of two routers. The merge is commutative, associative and idempotent, so hints may
- * arrive late, twice or in any order.
+ * Merges the states of two routers. The merge is commutative, associative and idempotent, so hints
+ * may arrive late, twice or in any order.
  *
  * @example
  * state = mergeQuarantines(state, hintFromPeer, now);
@@ -119,8 +122,8 @@
 type Crash = Extract<QuarantineEvent, { type: 'crashed' }>;
 
 /**
- * Records a crash of which each instance saw only a part. It counts once per request, even if several
- * instances report it.
+ * Records a crash of which each instance saw only a part. It counts once per request, even if
+ * several instances report it.
  */
 function recordShared(
   state: QuarantineState,
@@ -210,7 +213,9 @@
   return { entries: Object.fromEntries(ranked.slice(0, ENTRIES_AFTER_BOUND)) };
 }
 
-/** A cleared entry is kept for a while, to override an older crash in a delayed hint from a peer. */
+/**
+ * A cleared entry is kept for a while, to override an older crash in a delayed hint from a peer.
+ */
 function isWorthKeeping(entry: QuarantineEntry, now: EpochMs): boolean {
   return isRemembered(entry, now) || now - lastSeen(entry) < SUSPECT_MS;
 }
--- a/packages/core/src/runtime/routing/attemptPlan.ts
+++ b/packages/core/src/runtime/routing/attemptPlan.ts
@@ -45,7 +45,8 @@
 const MAX_UNACCEPTED_ATTEMPTS = 3;
 
 /**
- * Plans the attempts of a request. A non-idempotent request gets one attempt with all the time left.
+ * Plans the attempts of a request. A non-idempotent request gets one attempt with all the time
+ * left.
  *
  * @example
  * const plan = resolveAttemptPlan({ idempotent: true, deadline, maxAttempts: 3 }, now);
--- a/packages/core/src/runtime/routing/enginePace.ts
+++ b/packages/core/src/runtime/routing/enginePace.ts
@@ -1,8 +1,8 @@
 /** Estimates the speed of an inference engine from the streams that it served for this instance. */
 
 /**
- * Number of streams remembered. The fastest of several streams shows the engine's own speed. A single
- * stream may have been slowed down by long prompts from its first event to its last.
+ * Number of streams remembered. The fastest of several streams shows the engine's own speed. A
+ * single stream may have been slowed down by long prompts from its first event to its last.
  */
 const REMEMBERED_STREAMS = 8;
 
--- a/packages/core/src/runtime/routing/keptServers.ts
+++ b/packages/core/src/runtime/routing/keptServers.ts
@@ -1,8 +1,8 @@
 /**
  * Servers that are still used although their entry has expired. While the store is unavailable, the
- * entries of running servers expire because they cannot be renewed. The entry of a stopped server is
- * missing in the same way. The list cannot distinguish the two cases, but the server itself can, so
- * each kept server is probed.
+ * entries of running servers expire because they cannot be renewed. The entry of a stopped server
+ * is missing in the same way. The list cannot distinguish the two cases, but the server itself can,
+ * so each kept server is probed.
  */
 
 import type { EpochMs, ServerId } from '../../types/ids.js';
--- a/packages/core/src/runtime/routing/loadEstimate.ts
+++ b/packages/core/src/runtime/routing/loadEstimate.ts
@@ -67,7 +67,8 @@
 
   /** Applies a report; a report older than the previous one is ignored. */
   report(report: LoadReport, now: EpochMs): void {
-    // clocks of instances differ, so the time is clamped: not in the future, not older than the limit.
+    // clocks of instances differ, so the time is clamped: not in the future, not older than the
+    // limit.
     const at = Math.max(Math.min(report.at, now), now - REPORT_STALE_MS);
     if (this.#reportAt !== undefined && at < this.#reportAt) return;
     this.#reportAt = at;
--- a/packages/core/src/runtime/routing/promptHolders.ts
+++ b/packages/core/src/runtime/routing/promptHolders.ts
@@ -1,4 +1,6 @@
-/** Records which server has a shared prompt cached, so that another server can copy it from there. */
+/**
+ * Records which server has a shared prompt cached, so that another server can copy it from there.
+ */
 
 import type { ServerId } from '../../types/ids.js';
 import { LRUCache } from 'lru-cache';
--- a/packages/core/src/runtime/routing/reachability.ts
+++ b/packages/core/src/runtime/routing/reachability.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks whether a server can be reached over the network. A partition or a power failure appears as
- * silence: connections do not open, and requests on open connections get no answer. This is kept
+ * Tracks whether a server can be reached over the network. A partition or a power failure appears
+ * as silence: connections do not open, and requests on open connections get no answer. This is kept
  * apart from failures of the server itself, because in a partition most servers may be unreachable
  * at once, and requests sent to them would only make callers wait.
  */
@@ -15,7 +15,9 @@
   avoidUntil: EpochMs;
 }
 
-/** Time to avoid a server after the first silence, in milliseconds; doubles with each further one. */
+/**
+ * Time to avoid a server after the first silence, in milliseconds; doubles with each further one.
+ */
 const MIN_AVOID_MS = 800;
 /** Maximum time, in milliseconds; the end of a partition is detected within it. */
 const MAX_AVOID_MS = 3_200;
--- a/packages/core/src/runtime/routing/sendShare.ts
+++ b/packages/core/src/runtime/routing/sendShare.ts
@@ -3,14 +3,14 @@
 import type { EpochMs } from '../../types/ids.js';
 
 /**
- * Milliseconds after which an unused send slot expires. If slots lasted longer, many instances that had
- * no requests for the server would use all their accumulated slots at the start of a burst.
+ * Milliseconds after which an unused send slot expires. If slots lasted longer, many instances that
+ * had no requests for the server would use all their accumulated slots at the start of a burst.
  */
 const SLOT_EXPIRY_MS = 2_000;
 
 /**
- * Send slots at regular intervals, one request per slot. Instances do not coordinate their slots, so
- * each starts at a random offset within its first interval.
+ * Send slots at regular intervals, one request per slot. Instances do not coordinate their slots,
+ * so each starts at a random offset within its first interval.
  *
  * @example
  * const pacer = new SendPacer(4_000, now, random);
@@ -39,7 +39,9 @@
     this.#intervalMs = intervalMs;
   }
 
-  /** Time at which the next request may be sent; not later than `now` if one may be sent at once. */
+  /**
+   * Time at which the next request may be sent; not later than `now` if one may be sent at once.
+   */
   nextAt(now: EpochMs): EpochMs {
     this.#dropExpired(now);
     return this.#dueAt;
--- a/packages/core/src/runtime/routing/serverChooser.ts
+++ b/packages/core/src/runtime/routing/serverChooser.ts
@@ -82,8 +82,8 @@
 const DEFAULT_LOAD_BOUND = 1.25;
 
 /**
- * Picks the server that owns the prompt's prefix by rendezvous hashing, to use its cache. If the load of
- * that server exceeds `bound` times the mean, falls back to power of two choices.
+ * Picks the server that owns the prompt's prefix by rendezvous hashing, to use its cache. If the
+ * load of that server exceeds `bound` times the mean, falls back to power of two choices.
  */
 export class PrefixAffinityChooser extends ServerChooser {
   override readonly name = 'prefix-affinity';
@@ -114,8 +114,9 @@
 }
 
 /**
- * Chooses a server for a request: one of the local data centre, or another if those have no capacity.
- * Returns `undefined` if no server has capacity; the request then waits in the admission queue.
+ * Chooses a server for a request: one of the local data centre, or another if those have no
+ * capacity. Returns `undefined` if no server has capacity; the request then waits in the admission
+ * queue.
  *
  * @example
  * const server = chooseServer(pool, chooser, { prefixHash }, { tried }, now, random);
--- a/packages/core/src/runtime/routing/serverEntry.ts
+++ b/packages/core/src/runtime/routing/serverEntry.ts
@@ -97,7 +97,8 @@
     this.#health = recordAttempt(this.#health, end, firstTokenMs, settings, now);
     if (targetMs === undefined) return;
     // timeouts count as well. With answers alone, a server so slow that almost nothing ends in time
-    // would seem healthy: only its few fast answers would be counted, and its limit would stay too high.
+    // would seem healthy: only its few fast answers would be counted, and its limit would stay too
+    // high.
     if (end === 'timeout') this.#limit.sample(Infinity, targetMs, now);
     if (end === 'ok' && firstTokenMs !== undefined) this.#limit.sample(firstTokenMs, targetMs, now);
   }
--- a/packages/core/src/runtime/routing/serverLife.ts
+++ b/packages/core/src/runtime/routing/serverLife.ts
@@ -3,8 +3,8 @@
 import type { ServerStart } from './serverNotices.js';
 
 /**
- * Returns an id for one incarnation of a server. A server that restarts under the same id gets a new
- * one.
+ * Returns an id for one incarnation of a server. A server that restarts under the same id gets a
+ * new one.
  *
  * @example
  * lifeOf({ id: 'p1', bornAt: 1_700_000_000_000 }); // 'p1@1700000000000'
--- a/packages/core/src/runtime/routing/serverNotices.ts
+++ b/packages/core/src/runtime/routing/serverNotices.ts
@@ -40,8 +40,8 @@
 /** Maximum accepted pause, in milliseconds; a longer one is most likely a mistake. */
 const MAX_PAUSE_MS = 600_000;
 /**
- * Jitter added to a pause, so that instances return one after the other: a fraction of the pause, and
- * its maximum in milliseconds.
+ * Jitter added to a pause, so that instances return one after the other: a fraction of the pause,
+ * and its maximum in milliseconds.
  */
 const PAUSE_JITTER = 0.25;
 const MAX_PAUSE_JITTER_MS = 1_000;
@@ -63,8 +63,8 @@
 }
 
 /**
- * Status reported by servers, by incarnation: whether a server is leaving (which the same incarnation
- * never revokes), until when it requests a pause, and its rate limit.
+ * Status reported by servers, by incarnation: whether a server is leaving (which the same
+ * incarnation never revokes), until when it requests a pause, and its rate limit.
  *
  * @example
  * const notices = new ServerNotices(new ServerRateLimits(random), random);
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Records what an answer reports about leaving and pauses. Rate limits are recorded separately, by
-   * {@link ServerRateLimits.tell}.
+   * Records what an answer reports about leaving and pauses. Rate limits are recorded separately,
+   * by {@link ServerRateLimits.tell}.
    */
   tell(start: ServerStart, { leaving, rest }: ServerNotice, now: EpochMs): NoticeChange[] {
     const server = this.#getOrCreate(start);
@@ -94,7 +94,8 @@
     }
     if (rest.type === 'invalid') changes.push('rest-invalid');
     if (rest.type === 'rest' && this.#recordPause(server, rest.ms, now)) changes.push('rests');
-    // an answer received during a pause may belong to an earlier request and does not end the pause.
+    // an answer received during a pause may belong to an earlier request and does not end the
+    // pause.
     if (rest.type === 'none' && server.rest && server.rest.until <= now) {
       server.rest = undefined;
       changes.push('back');
--- a/packages/core/src/runtime/routing/serverPool.ts
+++ b/packages/core/src/runtime/routing/serverPool.ts
@@ -104,9 +104,9 @@
    * Applies a new version of the server list.
    *
    * The list is delayed. A server that reported that it is leaving gets no requests while the list
-   * still shows it as live; otherwise each refresh would send requests to a server that refuses them.
-   * The mark is cleared only when the list no longer contains the server, or shows another server
-   * process (another URL or start time) under its id.
+   * still shows it as live; otherwise each refresh would send requests to a server that refuses
+   * them. The mark is cleared only when the list no longer contains the server, or shows another
+   * server process (another URL or start time) under its id.
    */
   applyList(servers: BackendServer[], now: EpochMs): void {
     const listed = new Set<ServerId>();
@@ -148,8 +148,8 @@
   }
 
   /**
-   * The server that most likely has a prompt cached: the first in rendezvous order among the reachable
-   * servers, as other instances send requests with the same prompt there.
+   * The server that most likely has a prompt cached: the first in rendezvous order among the
+   * reachable servers, as other instances send requests with the same prompt there.
    *
    * @param except servers to leave out.
    */
@@ -187,8 +187,8 @@
   }
 
   /**
-   * Whether a request can be placed under a rule. Slots are counted in the local data centre if it has
-   * any candidate, otherwise in the others.
+   * Whether a request can be placed under a rule. Slots are counted in the local data centre if it
+   * has any candidate, otherwise in the others.
    */
   hasRoom(rule: PlacementRule, now: EpochMs): boolean {
     const candidates = this.candidates({ extra: rule.extra }, now);
@@ -209,7 +209,9 @@
     return { reachable, listed: entries.length };
   }
 
-  /** Whether any server may receive requests, with or without capacity; if not, waiting is useless. */
+  /**
+   * Whether any server may receive requests, with or without capacity; if not, waiting is useless.
+   */
   hasOpenServer(tried: ReadonlySet<ServerId> | undefined, now: EpochMs): boolean {
     return this.#openEntries(now).some((entry) => !tried?.has(entry.server.id));
   }
@@ -232,7 +234,9 @@
     return restMs === undefined ? undefined : { firstMs: restMs, intervalMs: 0 };
   }
 
-  /** Milliseconds until the first requested pause ends; undefined if no server has requested one. */
+  /**
+   * Milliseconds until the first requested pause ends; undefined if no server has requested one.
+   */
   restEndsInMs(now: EpochMs): number | undefined {
     const rests = this.#stayingEntries(now).map(({ server }) => this.#notices.restMs(server, now));
     const resting = rests.filter((restMs) => restMs > 0);
@@ -278,8 +282,8 @@
   }
 
   /**
-   * Avoids servers that have requests in flight but have sent nothing for `silentMs`. Otherwise a server
-   * that lost power would get new requests until the first of them reached its timeout.
+   * Avoids servers that have requests in flight but have sent nothing for `silentMs`. Otherwise a
+   * server that lost power would get new requests until the first of them reached its timeout.
    *
    * @returns ids of the servers that are newly avoided.
    */
@@ -304,7 +308,9 @@
     if (this.#isSlow(entry)) entry.eject(this.#health, now);
   }
 
-  /** Whether a server is leaving, by the list or by its own report; the report outlives its entry. */
+  /**
+   * Whether a server is leaving, by the list or by its own report; the report outlives its entry.
+   */
   #isLeaving({ leaving, server }: ServerEntry): boolean {
     return leaving || this.#notices.isLeaving(server);
   }
@@ -335,8 +341,8 @@
   /** Reachable servers that are neither leaving nor drained. */
   #stayingEntries(now: EpochMs): ServerEntry[] {
     // unreachable servers are always excluded, unlike ejected ones. If most servers are behind a
-    // partition, the few others get all requests; if none is reachable, the caller is refused at once.
-    // After a delay, a single request tests each unreachable server again.
+    // partition, the few others get all requests; if none is reachable, the caller is refused at
+    // once. After a delay, a single request tests each unreachable server again.
     return [...this.#entries.values()].filter(
       (entry) =>
         !this.#isLeaving(entry) &&
@@ -352,8 +358,8 @@
       return this.#notices.restMs(server, now) === 0;
     });
     const healthy = reachable.filter((entry) => entry.share(this.#health, now) > 0);
-    // if most servers seem unhealthy, the network or the requests are more likely at fault. Ejecting
-    // them would move all load to the few others and overload these as well.
+    // if most servers seem unhealthy, the network or the requests are more likely at fault.
+    // Ejecting them would move all load to the few others and overload these as well.
     const tooFew = healthy.length < reachable.length * (1 - MAX_EJECTED_SHARE);
     return tooFew ? reachable : healthy;
   }
@@ -386,7 +392,8 @@
     const capacity = entry.capacity(this.#health, now);
     const load = entry.load.total(now);
     // load reports are delayed. If one router refilled each free slot at once, another router would
-    // see a full server in every report and wait for ever. So each router may always use a fair share.
+    // see a full server in every report and wait for ever. So each router may always use a fair
+    // share.
     const fairPart = this.#isLocal(entry) ? Math.ceil(capacity / this.#sharers) : 0;
     return {
       id: entry.server.id,
--- a/packages/core/src/runtime/routing/serverRateLimits.ts
+++ b/packages/core/src/runtime/routing/serverRateLimits.ts
@@ -19,8 +19,8 @@
   | 'changed'
   | 'ended'
   /**
-   * The value cannot be parsed, so the limit is unchanged; reported once until the server sends a valid
-   * value.
+   * The value cannot be parsed, so the limit is unchanged; reported once until the server sends a
+   * valid value.
    */
   | 'invalid';
 
@@ -58,17 +58,17 @@
 }
 
 /**
- * Fraction of a limit that all instances use together. Over a few seconds the total rate varies around
- * its mean, because no instance knows when the others send. New instances may also be missing from
- * the count for a while.
+ * Fraction of a limit that all instances use together. Over a few seconds the total rate varies
+ * around its mean, because no instance knows when the others send. New instances may also be
+ * missing from the count for a while.
  */
 const USED_FRACTION = 0.6;
 /** Number of instances assumed while the real number is unknown. */
 const DEFAULT_SHARERS = 100;
 
 /**
- * Rate limits by server. A limit applies to all instances together, and each uses an equal share of it,
- * so the total stays within the limit even if instances cannot reach each other. An instance
+ * Rate limits by server. A limit applies to all instances together, and each uses an equal share of
+ * it, so the total stays within the limit even if instances cannot reach each other. An instance
  * continues to send at its share, so that an answer shows when the limit has ended.
  *
  * @example
@@ -136,7 +136,8 @@
   }
 
   /**
-   * Combined pace of servers that all have a limit; undefined if one has none, or if `ids` is empty.
+   * Combined pace of servers that all have a limit; undefined if one has none, or if `ids` is
+   * empty.
    */
   pace(ids: readonly ServerId[], now: EpochMs): RateLimitPace | undefined {
     const pacers = ids.flatMap((id) => this.#limits.get(id)?.pacer ?? []);
--- a/packages/core/src/runtime/routing/serverSubset.ts
+++ b/packages/core/src/runtime/routing/serverSubset.ts
@@ -4,8 +4,8 @@
 import { hash32 } from '../../utils/hash.js';
 
 /**
- * Picks the servers of one router. All routers compute the same rounds, so each server is used by almost
- * the same number of routers.
+ * Picks the servers of one router. All routers compute the same rounds, so each server is used by
+ * almost the same number of routers.
  *
  * @example
  * pool.setSubset(chooseSubset({ routers, self, servers, size: 20 }));
--- a/packages/core/src/runtime/streams/eventFrames.ts
+++ b/packages/core/src/runtime/streams/eventFrames.ts
@@ -1,7 +1,7 @@
 /**
- * Splits the bytes of an event stream at event boundaries. Bytes are forwarded unchanged. An incomplete
- * event is never forwarded, so a stream that is resumed at another server has neither gaps nor
- * duplicated parts of events.
+ * Splits the bytes of an event stream at event boundaries. Bytes are forwarded unchanged. An
+ * incomplete event is never forwarded, so a stream that is resumed at another server has neither
+ * gaps nor duplicated parts of events.
  */
 
 /** Complete events from one or more chunks. */
--- a/packages/core/src/types/routedConfig.ts
+++ b/packages/core/src/types/routedConfig.ts
@@ -34,10 +34,13 @@
 export interface RoutedService {
   name: ServiceName;
   /**
-   * Path of the health check, which also shows whether a server is leaving; absent if there is none.
+   * Path of the health check, which also shows whether a server is leaving; absent if there is
+   * none.
    */
   healthPath?: string;
-  /** Whether it generates text: requests then gain from a server that has cached the same prompt. */
+  /**
+   * Whether it generates text: requests then gain from a server that has cached the same prompt.
+   */
   generates: boolean;
   /** Whether a server can copy the cached state of a prompt from another server. */
   copiesPrompts: boolean;
--- a/test/routing/admissionQueue.test.ts
+++ b/test/routing/admissionQueue.test.ts
@@ -38,8 +38,8 @@
     assert.deepEqual(order, [early.id, late.id, standard.id]);
   });
 
-  // Guards against starvation: requests of the first class arrive faster than they can be served, and
-  // background requests wait behind them until the overload ends.
+  // Guards against starvation: requests of the first class arrive faster than they can be served,
+  // and background requests wait behind them until the overload ends.
   test('background work is served at its minimum share under lasting overload', () => {
     const queue = new AdmissionQueue({ maxSize: 100 });
     const served = { first: 0, standard: 0, background: 0 };
@@ -84,8 +84,8 @@
 });
 
 describe('deadlines', () => {
-  // Guards against callers that wait until their deadline although the predicted wait already exceeds
-  // it on arrival. A caller refused at once can try another router.
+  // Guards against callers that wait until their deadline although the predicted wait already
+  // exceeds it on arrival. A caller refused at once can try another router.
   test('a request that would be served after its deadline is refused on arrival', () => {
     const queue = new AdmissionQueue({ maxSize: 100 });
     const now = warmUp(queue, 20, 50);
@@ -133,8 +133,8 @@
 }
 
 describe('reserve', () => {
-  // Guards against a request of the first class that waits for seconds because less important requests
-  // occupy every slot of every server when it arrives.
+  // Guards against a request of the first class that waits for seconds because less important
+  // requests occupy every slot of every server when it arrives.
   test('grows while the first class misses its target and decays afterwards', () => {
     const reserve = new ImportanceReserve();
     const keptFree = () => Number(reserve.ruleFor('standard').keptFree.toFixed(4));
@@ -157,8 +157,8 @@
   });
 });
 
-// Guards against a class that stays refused after an incident: its expected time exceeded its deadline,
-// so every request was refused, none ended, and the expected time was never corrected.
+// Guards against a class that stays refused after an incident: its expected time exceeded its
+// deadline, so every request was refused, none ended, and the expected time was never corrected.
 test('the expected service time decays while no answer arrives', () => {
   let known = recordServiceTime(undefined, 8_000, 0);
   known = recordServiceTime(known, 8_000, 1_000);
--- a/test/routing/brokenOff.test.ts
+++ b/test/routing/brokenOff.test.ts
@@ -82,8 +82,8 @@
   }
 }
 
-// A server sends no response headers before it has done some work. Guards against missing a request that
-// crashes its server before any headers arrive.
+// A server sends no response headers before it has done some work. Guards against missing a request
+// that crashes its server before any headers arrive.
 test('requests whose connections fail in a server crash become suspects, each once', async () => {
   const world = new LaneFixture(true);
   const [first, second, third] = await Promise.all(['a', 'b', 'c'].map((f) => world.place(f)));
@@ -102,7 +102,8 @@
   );
 });
 
-// Guards against a reset connection that makes suspects of all requests at a server that is running.
+// Guards against a reset connection that makes suspects of all requests at a server that is
+// running.
 test('requests at a server that only lost connections stay clear', async () => {
   const world = new LaneFixture(false);
   const [first] = await Promise.all(['a', 'b'].map((f) => world.place(f)));
--- a/test/routing/crashEvidence.test.ts
+++ b/test/routing/crashEvidence.test.ts
@@ -29,8 +29,8 @@
 }
 
 describe('a request on servers shared by several instances', () => {
-  // Guards against an instance that blames an innocent request because it does not see the cause, which
-  // another instance sent to the same server.
+  // Guards against an instance that blames an innocent request because it does not see the cause,
+  // which another instance sent to the same server.
   const cases = [
     {
       name: 'two crashes, alone as far as its instance knows',
@@ -123,8 +123,8 @@
 });
 
 describe('simulated load on ten servers', () => {
-  // Guards against refusing requests that only ran beside a cause, and against a cause that crashes one
-  // server after another.
+  // Guards against refusing requests that only ran beside a cause, and against a cause that crashes
+  // one server after another.
   const quiet = { repeatMs: 450, ownCrashMs: Infinity, repeated: 5 };
   const cases: (Omit<CrashScenario, 'seed'> & { name: string; refused: number })[] = [
     { ...quiet, name: 'one cause', causes: 1, refused: 0 },
--- a/test/routing/keptServers.test.ts
+++ b/test/routing/keptServers.test.ts
@@ -14,7 +14,8 @@
 describe('a server whose entry is missing', () => {
   const results: readonly { result: ServerWord; stillKept: boolean }[] = [
     { result: 'staying', stillKept: true },
-    // a busy server may not answer in time. Dropping all such servers after an outage would leave none.
+    // a busy server may not answer in time. Dropping all such servers after an outage would leave
+    // none.
     { result: 'unknown', stillKept: true },
     { result: 'leaving', stillKept: false },
     { result: 'gone', stillKept: false },
--- a/test/routing/promptHolders.test.ts
+++ b/test/routing/promptHolders.test.ts
@@ -40,7 +40,8 @@
     const query = { scope: 'everywhere' } as const;
     const chosen = chooseServer(this.pool, this.#chooser, { prefixHash }, query, now, random);
     assert.ok(chosen);
-    // note requests in flight: by chance some servers are busier than others, which diverts reports.
+    // note requests in flight: by chance some servers are busier than others, which diverts
+    // reports.
     const until = now + 4_000 * random();
     this.#inFlight.push({ attempt: this.pool.dispatch(chosen.id, now), until });
     return chosen.id;
@@ -73,8 +74,8 @@
   return again;
 }
 
-// Guards against processing a prompt again that another engine has cached: all streams on the same engine
-// pause meanwhile.
+// Guards against processing a prompt again that another engine has cached: all streams on the same
+// engine pause meanwhile.
 describe('a prompt cached at another server is copied from there', () => {
   for (const seed of [1, 2, 3]) {
     test(`less than half is processed again, seed ${String(seed)}`, () => {
--- a/test/routing/quarantine.test.ts
+++ b/test/routing/quarantine.test.ts
@@ -26,8 +26,8 @@
 const now = 20_000;
 
 describe('verdicts', () => {
-  // One request crashes each server that runs it, and its caller sends it again. The other requests that
-  // were in flight on the first server are innocent and must get their answers.
+  // One request crashes each server that runs it, and its caller sends it again. The other requests
+  // that were in flight on the first server are innocent and must get their answers.
   const cases = [
     { name: 'no events', events: [], poison: 'clear', neighbour: 'clear' },
     {
@@ -115,8 +115,8 @@
 });
 
 describe('peers', () => {
-  // The harmful request moves on to another router and crashes its servers too, but each router alone
-  // has observed only one crash.
+  // The harmful request moves on to another router and crashes its servers too, but each router
+  // alone has observed only one crash.
   test('a hint makes a request a suspect at the peer, so that its next crash counts as the second', () => {
     const hint = quarantineHint(after([crash('s1', 'poison')]), 10);
     const peer = mergeQuarantines(createQuarantine(), structuredClone(hint), now);
--- a/test/routing/quickEngineChooser.test.ts
+++ b/test/routing/quickEngineChooser.test.ts
@@ -7,8 +7,9 @@
 const affinity = new PrefixAffinityChooser(1.5);
 const quick = new QuickEngineChooser(affinity);
 
-// Guards against late streams: if long prompts go to all engines equally, a slow engine needs more than
-// 300 ms for the three prompt chunks between two events. A pause of that length makes the stream late.
+// Guards against late streams: if long prompts go to all engines equally, a slow engine needs more
+// than 300 ms for the three prompt chunks between two events. A pause of that length makes the
+// stream late.
 describe('long prompts and streams on engines of different speeds', () => {
   const speeds = [1, 1, 1.3, 1, 1, 1.3, 1, 1];
   for (const seed of [1, 2, 3]) {
@@ -22,8 +23,8 @@
   }
 });
 
-// If most engines are slow, the few fast ones must not get all long prompts: these would queue there for
-// longer than their callers wait.
+// If most engines are slow, the few fast ones must not get all long prompts: these would queue
+// there for longer than their callers wait.
 describe('no engine is excluded if too few would remain, or if none is slow', () => {
   const cases = [
     { name: 'most are slow', speeds: [1, 1, 1, 1.3, 1.3, 1.3, 1.3, 1.3] },
--- a/test/routing/rateLimitedLane.test.ts
+++ b/test/routing/rateLimitedLane.test.ts
@@ -85,7 +85,8 @@
 });
 
 describe('a request during a pause of the only server', () => {
-  // Guards against callers that are kept waiting until their timeout for a server that accepts none.
+  // Guards against callers that are kept waiting until their timeout for a server that accepts
+  // none.
   const cases = [
     { name: 'that ends in time waits', startByMs: 1_500, end: 'waits' },
     { name: 'that ends too late is refused', startByMs: 500, end: 'overloaded' },
@@ -104,8 +105,8 @@
   }
 });
 
-// Guards against less important requests that wait although slots are free, because others were refused
-// due to a rate limit. Reserving slots does not help against a rate limit.
+// Guards against less important requests that wait although slots are free, because others were
+// refused due to a rate limit. Reserving slots does not help against a rate limit.
 test('refusals due to a rate limit reserve no slots after the limit has ended', async () => {
   const world = new LaneFixture();
   world.limits.tell('s1', { type: 'limit', perSecond: 0.1 }, 0);
--- a/test/routing/reachability.test.ts
+++ b/test/routing/reachability.test.ts
@@ -85,8 +85,8 @@
   assert.equal(pool.hasOpenServer(undefined, 2_000), true);
 });
 
-// Guards against requests that wait until their timeout at a server that lost power with requests in
-// flight.
+// Guards against requests that wait until their timeout at a server that lost power with requests
+// in flight.
 test('a silent server with requests in flight is avoided until something is received from it', () => {
   const pool = createPool(['dark', 'sound']);
   const waiting = pool.dispatch('dark', 0);
--- a/test/routing/routingExperiment.test.ts
+++ b/test/routing/routingExperiment.test.ts
@@ -30,8 +30,8 @@
   assert.deepEqual(run(chosenPolicy, scenario), run(chosenPolicy, scenario));
 });
 
-// Guards against requests of the first class that fail under overload although the servers could answer
-// all of them: they wait behind longer and less important requests.
+// Guards against requests of the first class that fail under overload although the servers could
+// answer all of them: they wait behind longer and less important requests.
 test('under overload the first class is served far better than by the baseline', () => {
   const scenario = { name: 'load 1.5', load: 1.5, fault: 'none' } as const;
   const [chosen] = run(chosenPolicy, scenario).classes;
--- a/test/routing/serverChooser.test.ts
+++ b/test/routing/serverChooser.test.ts
@@ -58,8 +58,8 @@
     assert.equal(new Set(owners).size, 3);
   });
 
-  // Guards against callers that wait while other servers are idle: all share one prompt prefix and are
-  // sent to its one server regardless of its load.
+  // Guards against callers that wait while other servers are idle: all share one prompt prefix and
+  // are sent to its one server regardless of its load.
   test('a prefix moves to another server if the load of its own is far above the mean', () => {
     const owner = countPicks('prefix-affinity', [2, 2, 2]).indexOf(600);
     const loads = [2, 2, 2].map((load, i) => (i === owner ? 9 : load));
--- a/test/routing/serverNotices.test.ts
+++ b/test/routing/serverNotices.test.ts
@@ -75,8 +75,8 @@
     assert.equal(notices.nextAt(INCARNATION, 1_500), 1_500);
   });
 
-  // Guards against an answer that arrives during the test period and does not end it, so that only one
-  // request is sent every half second.
+  // Guards against an answer that arrives during the test period and does not end it, so that only
+  // one request is sent every half second.
   test('is used normally once the test request is answered', () => {
     const notices = createNotices();
     notices.tell(INCARNATION, rests(1_000), 0);
@@ -101,8 +101,8 @@
     assert.equal(notices.nextAt(INCARNATION, 3_001), 3_001);
   });
 
-  // Guards against overload after a pause: eighty instances that return at the same moment would make the
-  // server shed requests again.
+  // Guards against overload after a pause: eighty instances that return at the same moment would
+  // make the server shed requests again.
   test('gets its first requests one after another', () => {
     const times = [0, 0.5, 0.99].map((random) => {
       const notices = createNotices(random);
--- a/test/routing/serverPool.test.ts
+++ b/test/routing/serverPool.test.ts
@@ -26,8 +26,8 @@
 }
 
 describe('leaving', () => {
-  // Guards against refusals for seconds after a planned stop: the server answers 503 leaving, but the
-  // delayed list still shows it as live, and each refresh would send it new requests.
+  // Guards against refusals for seconds after a planned stop: the server answers 503 leaving, but
+  // the delayed list still shows it as live, and each refresh would send it new requests.
   test('a list that still shows a server as live does not bring it back', () => {
     const pool = poolOf(['s1', 's2']);
     pool.settle(pool.dispatch('s1', 1), { end: 'leaving' }, 1);
@@ -85,8 +85,8 @@
 });
 
 describe('load', () => {
-  // Guards against requests that accumulate at one server: its report says idle, but was taken before the
-  // last dispatches.
+  // Guards against requests that accumulate at one server: its report says idle, but was taken
+  // before the last dispatches.
   test('own dispatches after the report are added to it', () => {
     const pool = poolOf(['s1'], 8);
     pool.dispatch('s1', 100);
@@ -112,8 +112,8 @@
     assert.equal(pool.candidates({}, 20_000)[0]?.load, 0);
   });
 
-  // Guards against a router whose requests all wait until their deadline: another router refills each free
-  // slot before the next report, so every report shows a full server.
+  // Guards against a router whose requests all wait until their deadline: another router refills
+  // each free slot before the next report, so every report shows a full server.
   test('each router may use a fair share of a full server', () => {
     const pool = poolOf(['s1'], 4);
     pool.reportLoad('s1', { running: 4, waiting: 2, at: 0 }, 0);
@@ -147,8 +147,8 @@
     assert.deepEqual([2_000, 7_000, 12_000].map(capacityAt), [2, 11, 20]);
   });
 
-  // Guards against refusing all callers although the servers are healthy: the network briefly dropped
-  // every connection, and every server was ejected.
+  // Guards against refusing all callers although the servers are healthy: the network briefly
+  // dropped every connection, and every server was ejected.
   test('if most servers fail at once, they are not all ejected', () => {
     const pool = poolOf(['s1', 's2', 's3']);
     for (const id of ['s1', 's2', 's3']) failTimes(pool, id, 3, 0);
@@ -193,8 +193,8 @@
   }
 
   // Guards against hours in which nearly all requests miss their deadline: operators declared more
-  // concurrent requests than fit into the memory of the servers. Timeouts must count, because almost
-  // nothing is answered.
+  // concurrent requests than fit into the memory of the servers. Timeouts must count, because
+  // almost nothing is answered.
   const cases = [
     {
       name: 'answers within the target leave it unchanged',
