--- a/packages/core/src/types/journal.ts
+++ b/packages/core/src/types/journal.ts
@@ -1,6 +1,7 @@
 /**
- * The journal of a data centre: one platform object, changed only by conditional update, that says
- * which router may spend what, what was billed and which non-idempotent requests were started.
+ * The journal of a data centre: one platform object that is changed only by conditional update. It
+ * records how many tokens each router may spend, the bills, and the non-idempotent requests that
+ * were started.
  */
 
 import type {
@@ -13,46 +14,47 @@
 } from './ids.js';
 
 /**
- * Life of a holder. `sealing` stops its own writes; `sealed` means that the lines kept by its
- * witnesses have been applied too, so its slices are free again; `closed` is its own clean end.
+ * State of a holder. In `sealing` its own writes are refused. In `sealed` the lines stored by its
+ * witnesses have been applied too, so its slices are free again. `closed` is a clean shutdown by
+ * the holder itself.
  */
 export type HolderState = 'open' | 'sealing' | 'sealed' | 'closed';
 
-/** What one router incarnation holds and has recorded. */
+/** Journal entry of one router incarnation: the tokens that it holds and what it has recorded. */
 export interface JournalHolder {
   state: HolderState;
-  /** Sequence number of the last line applied; lines are dense and applied in order. */
+  /** Sequence number of the last line applied. Lines are numbered without gaps and applied in order. */
   seq: number;
-  /** Incarnations that may keep this holder's lines while the platform cannot be reached. */
+  /** Incarnations that may store this holder's lines while the platform is unreachable. */
   witnesses: IncarnationId[];
   /** Tokens that this holder may spend, per account. */
   slices: Record<AccountId, Tokens>;
-  /** Numbers of non-idempotent tickets dispatched and without an outcome yet. */
+  /** Numbers of non-idempotent tickets that were dispatched and have no outcome yet. */
   openIntents: number[];
-  /** Billed or completed ticket numbers, as sorted, disjoint, inclusive intervals. */
+  /** Numbers of billed or completed tickets, as sorted, disjoint, inclusive intervals. */
   done: [number, number][];
-  /** First and last bill segment with a line of this holder. */
+  /** First and last bill segment that may contain a line of this holder. */
   segments: { first: number; last: number };
   /** When the holder registered. */
   since: EpochMs;
   /**
-   * Earlier incarnations of the same process, newest last. It still has the lines that it kept as
-   * their witness, and answers for them.
+   * Earlier incarnations of the same process, newest last. The process still has the lines that it
+   * stored as a witness under these incarnations, and answers requests for them.
    */
   formerly?: IncarnationId[];
-  /** Set when an operator stated that holder and witnesses are destroyed; bills may be lost. */
+  /** Set when an operator stated that the holder and a witness are destroyed. Bills may be lost. */
   writtenOff?: true;
 }
 
-/** Totals of one account in one data centre. All three only ever rise. */
+/** Totals of one account in one data centre. All of them only increase. */
 export interface JournalAccount {
-  /** Copy of what the ledger granted to this data centre, merged by maximum. */
+  /** Tokens that the ledger granted to this data centre, merged by maximum. */
   grantedIn: Tokens;
-  /** What this data centre handed back; the ledger copies it by maximum. */
+  /** Tokens that this data centre returned to the ledger, which merges them by maximum. */
   returnedOut: Tokens;
   /** Sum of all bills of this account in this data centre. */
   spent: Tokens;
-  /** `spent` by class of work, for the classes' shares of the budget. */
+  /** `spent` by class of work; limits each class to its share of the budget. */
   spentByClass?: Record<WorkClassName, Tokens>;
 }
 
@@ -75,20 +77,20 @@
   /** Digest of the caller's idempotency key, where one was given. */
   keyDigest?: string;
   /**
-   * Body digest of a request whose key could not be claimed before it was answered. Stands only
-   * while the bill is provisional.
+   * Body digest of a request whose idempotency key could not be claimed before the answer was sent.
+   * Set only while the bill is provisional.
    */
   unclaimed?: string;
   at: EpochMs;
 }
 
-/** Kept answer of a non-idempotent request, so that a retry gets the whole original answer. */
+/** Stored answer to a non-idempotent request, so that a retry gets the whole original answer. */
 export interface Outcome {
   holder: IncarnationId;
   ticket: number;
   status: number;
   contentType: string;
-  /** Body as base64; absent when it was larger than the limit for kept answers. */
+  /** Body as base64; absent when it was larger than the limit for stored answers. */
   body?: string;
   at: EpochMs;
 }
@@ -98,18 +100,18 @@
   dataCentre: DataCentreId;
   accounts: Record<AccountId, JournalAccount>;
   holders: Record<IncarnationId, JournalHolder>;
-  /** Number of the open segment; bills and outcomes below belong to it. */
+  /** Number of the open segment. The bills and outcomes below belong to it. */
   segment: number;
   bills: Bill[];
   outcomes: Outcome[];
   /**
-   * Bills of answered requests whose key has not been claimed yet. Their cost is charged, and each
-   * becomes a bill or is void once the claim tells which ticket owns the key.
+   * Bills of answered requests whose idempotency key has not been claimed yet. Their cost is
+   * charged. Each becomes final or void once the claim shows which ticket owns the key.
    */
   provisional?: Bill[];
 }
 
-/** A change that a holder makes to its own entry. */
+/** A change that a holder makes to its own journal entry. */
 export type JournalChange =
   | { type: 'take'; account: AccountId; amount: Tokens }
   | { type: 'give'; account: AccountId; amount: Tokens }
@@ -121,7 +123,7 @@
   | { type: 'witnesses'; witnesses: IncarnationId[] }
   | { type: 'close' };
 
-/** A change with its place in the holder's own dense sequence, which makes it idempotent. */
+/** A change with its gapless sequence number per holder, which makes it idempotent. */
 export interface JournalLine {
   holder: IncarnationId;
   seq: number;
--- a/packages/core/src/types/ledger.ts
+++ b/packages/core/src/types/ledger.ts
@@ -1,8 +1,8 @@
-/** The ledger: pages of prepaid budgets, shared by all data centres. */
+/** The ledger: pages of prepaid budgets that all data centres share. */
 
 import type { AccountId, DataCentreId, EpochMs, Tokens, WorkClassName } from './ids.js';
 
-/** What one data centre took from an account's budget. All three only ever rise. */
+/** Tokens that one data centre took from an account's budget. All totals only increase. */
 export interface LedgerShare {
   grantedIn: Tokens;
   returnedOut: Tokens;
@@ -11,7 +11,7 @@
   spentByClass?: Record<WorkClassName, Tokens>;
 }
 
-/** A top-up (positive) or reduction (negative) that was applied, kept to make it idempotent. */
+/** An applied top-up (positive) or reduction (negative), stored so that a repeat has no effect. */
 export interface BudgetChange {
   id: string;
   amount: Tokens;
@@ -22,7 +22,7 @@
 /** Budget of one client account. Invariant: sum of (grantedIn - returnedOut) <= limit. */
 export interface LedgerAccount {
   limit: Tokens;
-  /** Reduction asked for and not yet possible, because data centres still hold the tokens. */
+  /** Requested reduction that is not possible yet, because data centres still hold the tokens. */
   pendingReduction: Tokens;
   shares: Record<DataCentreId, LedgerShare>;
   changes: BudgetChange[];
--- a/packages/core/src/types/prepaid.ts
+++ b/packages/core/src/types/prepaid.ts
@@ -1,34 +1,35 @@
 /**
- * Prepaid budgets whose rights are dealt to instances: stored objects, changed only by conditional
- * update, that say what was spent and who may still spend how much. Budgets are granted to groups of
- * instances, and a group's page deals them to its instances: one page for a whole fleet would be
- * fought over, and would be long to carry over a slow link.
+ * Prepaid budgets whose tokens are allocated to instances. They are stored objects, changed only by
+ * conditional update, that record what was spent and how much each instance may still spend. Budgets
+ * are granted to groups of instances, and the page of a group allocates its grant to its instances.
+ * A single page for the whole fleet would cause many update conflicts and be slow to transfer over a
+ * slow link.
  */
 
 import type { AccountId, DataCentreId, IncarnationId, Tokens } from './ids.js';
 
-/** What one instance holds of an account. */
+/** Tokens of an account that one instance holds. */
 export interface PrepaidShare {
   /** Tokens that the instance may still spend. */
   held: Tokens;
-  /** Tokens a second that it was last asked for. */
+  /** Demand at the instance in tokens per second, as it last reported it. */
   rate: number;
 }
 
-/** One account. Invariant: spent + inDoubt + sum of held <= granted - returned. */
+/** One account of a group. Invariant: spent + inDoubt + sum of held <= granted - returned. */
 export interface PrepaidAccount {
-  /** All that the group was ever granted, as far as the page knows. */
+  /** Total of all grants to the group that the page has applied. */
   granted: Tokens;
-  /** All of it that the group ever gave back. */
+  /** Total that the group has returned. */
   returned: Tokens;
-  /** Reported spend of all instances, ended ones included. */
+  /** Reported spend of all instances, including ended ones. */
   spent: Tokens;
-  /** Held by processes that ended without a last report: charged, but without bills. */
+  /** Tokens held by processes that ended without a last report. They are charged without a bill. */
   inDoubt: Tokens;
   shares: Record<string, PrepaidShare>;
 }
 
-/** The last report that was taken in from an instance. */
+/** The last report of an instance that was applied. */
 export interface PrepaidWriter {
   incarnation: IncarnationId;
   seq: number;
@@ -41,18 +42,19 @@
   writers: Record<string, PrepaidWriter>;
 }
 
-/** What a group was granted of one account. All three only grow. */
+/** Grant of one account to one group. All three totals only increase. */
 export interface PrepaidGrant {
   granted: Tokens;
-  /** Given back, as far as it was taken in. */
+  /** Total returned by the group, as of the last return that was applied here. */
   returned: Tokens;
-  /** Spent or in doubt at the group, as of its last exchange; may lag behind. */
+  /** Spent or in doubt at the group as of its last exchange, so it may be out of date. */
   gone: Tokens;
 }
 
 /**
- * Value of the one object that all groups share: who belongs to which group, and what each was granted.
- * Invariant for each account: the sum of granted - returned never passes the account's limit.
+ * Value of the single object that all groups share: which instance belongs to which group, and what
+ * each group was granted. Invariant for each account: the sum of granted - returned never exceeds the
+ * account's limit.
  */
 export interface PrepaidBudgets {
   /** Group of each instance, by instance name. */
@@ -61,91 +63,91 @@
   grants: Record<AccountId, Record<string, PrepaidGrant>>;
 }
 
-/** What one group needs to know of an account beyond its own page. */
+/** Data on an account that a group needs and its own page does not contain. */
 export interface PrepaidOutlook {
-  /** The group's even part of the account's limit. */
+  /** The account's limit divided by the number of groups. */
   limitPart: Tokens;
-  /** Its even part of what no group holds. */
+  /** Tokens that no group holds, divided by the number of groups. */
   beyond: Tokens;
-  /** Groups that share the account. */
+  /** Number of groups that share the account. */
   groups: number;
 }
 
-/** What an instance says of one account. */
+/** Part of a report on one account. */
 export interface PrepaidReportEntry {
-  /** Spent since the last report. */
+  /** Tokens spent since the last report. */
   spent: Tokens;
-  /** What the instance still holds, with all that it wants to give back taken off. */
+  /** Tokens that the instance still holds, excluding those that it returns with this report. */
   keeps: Tokens;
-  /** What it would like to hold beyond that. */
+  /** Tokens that it requests in addition to `keeps`. */
   wants: Tokens;
-  /** Tokens a second that it is asked for. */
+  /** Demand in tokens per second. */
   rate: number;
 }
 
-/** A report of one instance; its number makes it idempotent. */
+/** A report of one instance. The sequence number makes it idempotent. */
 export interface PrepaidReport {
   instance: string;
   incarnation: IncarnationId;
   seq: number;
-  /** Whether the instance leaves: the page forgets it with this report. */
+  /** Whether the instance shuts down: the page removes it after applying this report. */
   last: boolean;
   entries: Record<AccountId, PrepaidReportEntry>;
 }
 
-/** What a holder sizes its holdings by, wherever its rights come from. */
+/** Input from which a holder decides how many tokens to hold, whatever their source. */
 export interface PrepaidView {
-  /** Whether the giver of the rights knows this process already. */
+  /** Whether the source of the tokens has applied a report of this process. */
   isRegistered: boolean;
-  /** Instances that share what remains, this one included. */
+  /** Number of instances that share the remaining tokens, including this one. */
   instances: number;
-  /** Those among them that fetch tokens for single requests from what nobody holds. */
+  /** Number of those that fetch unallocated tokens from the store for single requests. */
   fetchers: number;
   accounts: ReadonlyMap<AccountId, PrepaidAccountView>;
 }
 
 /** One account of a {@link PrepaidView}. */
 export interface PrepaidAccountView {
-  /** Tokens neither spent nor in doubt that these instances have or may still get. */
+  /** Tokens that these instances hold or may still get: neither spent nor in doubt. */
   remaining: Tokens;
-  /** Tokens a second that the other instances are asked for. */
+  /** Demand at the other instances in tokens per second. */
   othersRate: number;
-  /** Instances that its callers come in at. @default all that share what remains */
+  /** Number of instances that its callers use. @default all that share the remaining tokens */
   spread?: number | undefined;
 }
 
-/** An instance of the fleet as the others know it. */
+/** An instance of the fleet as known to the other instances. */
 export interface FleetInstance {
   name: string;
   dataCentre: DataCentreId;
-  /** `http://host:port` at which it serves its peers; absent where it serves none. */
+  /** `http://host:port` at which it serves its peers; absent if it serves none. */
   meshUrl?: string | undefined;
 }
 
-/** Asks a lender for tokens and tells it what became of those that it lent before. */
+/** Requests tokens from a lender and reports how many of the tokens lent earlier were spent. */
 export interface LoanRequest {
-  /** Life of the lender by which earlier loans were made; absent before its first answer. */
+  /** Incarnation of the lender that made the earlier loans; absent before its first answer. */
   lender?: IncarnationId | undefined;
   report: PrepaidReport;
-  /** Part of what the report wants that requests wait for. */
+  /** Tokens that requests wait for, as part of the `wants` of the report. */
   urgent: Record<AccountId, Tokens>;
-  /** Tokens that a request at the borrower asks for on average. */
+  /** Average size of a request at the borrower, in tokens. */
   typicalRequest: Tokens;
-  /** Accounts of which the borrower wants to know how much is left, beside those of the report. */
+  /** Accounts whose remaining tokens the borrower asks for, in addition to those of the report. */
   interest: AccountId[];
 }
 
-/** What the lender knows of one account, and what it lends of it. */
+/** What the lender knows of one account, and how much it lends of it. */
 export interface LoanAccount {
-  /** Tokens that the borrower holds from now on. */
+  /** Tokens that the borrower holds from now on, including earlier loans that it keeps. */
   held: Tokens;
   remaining: Tokens;
   othersRate: number;
-  /** Instances that its callers come in at; absent at lenders that do not tell. */
+  /** Number of instances that its callers use; absent from lenders that do not report it. */
   spread?: number | undefined;
-  /** Tokens that could be lent beyond that. */
+  /** Tokens that could be lent in addition to `held`. */
   available: Tokens;
-  /** Tokens spent or in doubt anywhere, as far as the lender knows; it may lag behind. */
+  /** Tokens spent or in doubt in the whole fleet, as far as the lender knows; may be out of date. */
   gone: Tokens;
 }
 
@@ -154,13 +156,13 @@
   | {
       type: 'lent';
       lender: IncarnationId;
-      /** Instances that share what remains. */
+      /** Number of instances that share the remaining tokens. */
       instances: number;
-      /** Those among them that fetch tokens from the store. */
+      /** Number of those that fetch tokens from the store. */
       fetchers: number;
-      /** Whether the lender stops: its loans should go back, and others be asked. */
+      /** Whether the lender is shutting down: return its loans and borrow from another lender. */
       isStopping: boolean;
       accounts: Record<AccountId, LoanAccount>;
     }
-  /** The lender does not know these loans. They are charged, so they may be spent, but not told of again. */
+  /** The lender does not know these loans. They are charged: they may be spent but not reported. */
   | { type: 'forgotten'; lender: IncarnationId };
