--- a/packages/core/src/runtime/claims.ts
+++ b/packages/core/src/runtime/claims.ts
@@ -3,7 +3,7 @@
 import type { Claim, ClaimPage } from '../types/claim.js';
 import type { EpochMs, TicketId } from '../types/ids.js';
 
-/** Answer to a claim, with the page as it then is. */
+/** Answer to a claim, with the resulting page. */
 export interface ClaimResult {
   page: ClaimPage;
   answer: { type: 'own' } | { type: 'other'; ticket: TicketId } | { type: 'other-body' };
@@ -15,8 +15,8 @@
 }
 
 /**
- * Binds a key to a ticket unless another has it. Claiming again with the same ticket is `own`, so
- * a claim whose reply was lost can be repeated.
+ * Binds a key to a ticket unless another ticket owns the key. Claiming it again with the same ticket
+ * answers `own`, so a claim whose reply was lost can be repeated.
  *
  * @example
  * claim(page, keyDigest, { ticket, bodyDigest, at: now }).answer;
@@ -31,8 +31,8 @@
 }
 
 /**
- * Moves a claim from a ticket that provably was not billed. Of several routers that try, the first
- * wins and the others learn the new owner.
+ * Moves a claim away from a ticket that is known not to have been billed. If several routers try,
+ * the first one succeeds and the others receive the new owner.
  */
 export function takeOver(
   page: ClaimPage,
@@ -42,7 +42,7 @@
   now: EpochMs,
 ): ClaimResult {
   const held = page.claims[keyDigest];
-  // a pruned claim cannot be taken over: its body digest is gone, so it must be claimed anew.
+  // A pruned claim cannot be taken over because its body digest is gone. It must be claimed again.
   if (!held) return { page, answer: { type: 'other', ticket: from } };
   if (sameTicket(held.ticket, to)) return { page, answer: { type: 'own' } };
   if (!sameTicket(held.ticket, from)) {
@@ -54,8 +54,9 @@
 }
 
 /**
- * States that a ticket which may own a key has ended without a bill. Where the key has no owner the
- * statement is kept all the same: a claim of that ticket whose fate is not known can't come after it.
+ * Records that a ticket which may own a key has ended without a bill. The record is also stored if the
+ * key has no owner: an earlier claim of that ticket may still be in flight, and must not take effect
+ * afterwards.
  *
  * @example
  * giveUp(page, keyDigest, { ticket, bodyDigest, at: now });
@@ -64,12 +65,12 @@
   const held = page.claims[keyDigest];
   const isOwn = held !== undefined && sameTicket(held.ticket, ended.ticket);
   const isOwned = held !== undefined && !held.isGivenUp;
-  // what another gave up is written over: this ticket's claim may be on its way to the same page.
+  // A key that another ticket released is overwritten: this ticket's claim may still be in flight.
   if (isOwn ? !isOwned : isOwned) return page;
   return withClaim(page, keyDigest, { ...ended, isGivenUp: true });
 }
 
-/** Drops claims made before a time; what is younger always stays. */
+/** Removes claims made before the given time. */
 export function pruneClaims(page: ClaimPage, before: EpochMs): ClaimPage {
   const entries = Object.entries(page.claims);
   const kept = entries.filter(([, held]) => held.at >= before);
@@ -77,13 +78,13 @@
   return { ...page, claims: Object.fromEntries(kept) };
 }
 
-/** Whether two ids name the same ticket. */
+/** Whether two ids identify the same ticket. */
 export function sameTicket(left: TicketId, right: TicketId): boolean {
   return left.issuer === right.issuer && left.number === right.number;
 }
 
 /**
- * A ticket as text, for logs and as a key in memory.
+ * Formats a ticket id as text, for logs and as a key in memory.
  *
  * @example
  * ticketName({ issuer: 'dc-a/router-1/1', number: 17 }); // 'dc-a/router-1/1#17'
--- a/packages/core/src/runtime/demand.ts
+++ b/packages/core/src/runtime/demand.ts
@@ -1,4 +1,4 @@
-/** Demand per account as an exponentially weighted moving average of tokens a second. */
+/** Demand per account: an exponentially weighted moving average in tokens per second. */
 
 import type { EpochMs, Tokens } from '../types/ids.js';
 
@@ -8,18 +8,18 @@
   at: EpochMs;
 }
 
-/** Time after which an old observation counts a third. */
-export const DEMAND_SPAN_SECONDS = 10;
+/** Time constant of the average: an observation of this age has a weight of 1/e, about a third. */
+export const DEMAND_TIME_CONSTANT_SECONDS = 10;
 
 const MS_PER_SECOND = 1_000;
-/** Shortest past that is extrapolated from; one request says little about a rate. */
-const MIN_SEEN_SECONDS = 2;
+/** Minimum observation time that is extrapolated from; a single request says little about a rate. */
+const MIN_OBSERVED_SECONDS = 2;
 
-/** Estimate before anything was observed. */
+/** Estimate before the first observation. */
 export const NO_DEMAND: DemandEstimate = { tokensPerSecond: 0, at: 0 };
 
 /**
- * Adds an observation.
+ * Adds an observation of `amount` tokens.
  *
  * @example
  * demand = observeDemand(demand, cost, now);
@@ -29,23 +29,29 @@
   amount: Tokens,
   now: EpochMs,
 ): DemandEstimate {
-  const rate = currentDemand(estimate, now) + amount / DEMAND_SPAN_SECONDS;
+  const rate = currentDemand(estimate, now) + amount / DEMAND_TIME_CONSTANT_SECONDS;
   return { tokensPerSecond: rate, at: now };
 }
 
-/** The estimate as of now, in tokens a second. */
+/** Returns the estimate decayed to `now`, in tokens per second. */
 export function currentDemand(estimate: DemandEstimate, now: EpochMs): number {
   const idleSeconds = Math.max(0, now - estimate.at) / MS_PER_SECOND;
-  return estimate.tokensPerSecond * Math.exp(-idleSeconds / DEMAND_SPAN_SECONDS);
+  return estimate.tokensPerSecond * Math.exp(-idleSeconds / DEMAND_TIME_CONSTANT_SECONDS);
 }
 
 /**
- * The estimate as of now, corrected for a short past: an average that began at zero shows too little
- * until it has seen several times its decay.
+ * Returns the estimate at `now`, corrected for a short observation time. Without the correction, an
+ * average that started at zero is too low until several time constants have passed.
  *
- * @param since when observing began.
+ * @param since time at which observation started.
  */
-export function settledDemand(estimate: DemandEstimate, since: EpochMs, now: EpochMs): number {
-  const seenSeconds = Math.max(MIN_SEEN_SECONDS, (now - since) / MS_PER_SECOND);
-  return currentDemand(estimate, now) / (1 - Math.exp(-seenSeconds / DEMAND_SPAN_SECONDS));
+export function biasCorrectedDemand(
+  estimate: DemandEstimate,
+  since: EpochMs,
+  now: EpochMs,
+): number {
+  const observedSeconds = Math.max(MIN_OBSERVED_SECONDS, (now - since) / MS_PER_SECOND);
+  return (
+    currentDemand(estimate, now) / (1 - Math.exp(-observedSeconds / DEMAND_TIME_CONSTANT_SECONDS))
+  );
 }
--- a/packages/core/src/runtime/journal.ts
+++ b/packages/core/src/runtime/journal.ts
@@ -1,6 +1,6 @@
 /**
- * Reducer of the journal. Each function gives a new state and is idempotent, so that a write whose
- * reply was lost can be repeated on the state that is read back.
+ * Reducer of the journal. Each function returns a new state and is idempotent, so a write whose reply
+ * was lost can be repeated on the state that is read back.
  */
 
 import type {
@@ -21,24 +21,24 @@
 } from '../types/journal.js';
 import type { JournalDraft } from './journalDraft.js';
 import { Result } from 'true-myth';
-import { applyChange, charge, faultInChange } from './journalChange.js';
-import { draftOf, dropFreeSlices, editAccount, editHolder } from './journalDraft.js';
+import { applyChange, charge, findChangeFault } from './journalChange.js';
+import { createDraft, releaseSlices, editAccount, editHolder } from './journalDraft.js';
 import { pool } from './journalTotals.js';
 
-/** Ended holders that stay readable for retries of their tickets. */
-const DEFAULT_KEPT_HOLDERS = 200;
+/** Number of ended holders that are kept, so that retries of their tickets find them. */
+const DEFAULT_MAX_ENDED_HOLDERS = 200;
 
-/** Earlier incarnations that a holder names. */
-const MAX_FORMER = 16;
+/** Maximum number of earlier incarnations listed in a holder's entry. */
+const MAX_FORMER_INCARNATIONS = 16;
 
-/** Class and service named by a bill for tokens whose real bills were lost with their holder. */
+/** Class and service in a bill for tokens whose actual bills were lost with their holder. */
 export const UNATTRIBUTED = 'unattributed';
 
-/** Ticket number of an unattributed bill; no request has it. */
+/** Ticket number of an unattributed bill. No request has this number. */
 const NO_TICKET = -1;
 
 /**
- * Creates the journal of a data centre that has none yet.
+ * Creates the empty journal of a data centre.
  *
  * @example
  * createJournal('dc-a');
@@ -61,8 +61,9 @@
 }
 
 /**
- * Applies lines in the given order, all or none. A line that is in already changes nothing; a line
- * beyond the next one is a `gap`; a holder that is being sealed or has ended is `not-open`.
+ * Applies lines in the given order, all or none. A line that was applied before changes nothing. A
+ * line that skips a sequence number is a `gap`. A holder that is being sealed or has ended is
+ * `not-open`.
  */
 export function applyLines(
   state: JournalState,
@@ -72,7 +73,7 @@
   if (fresh.length === 0 && lines.every((line) => state.holders[line.holder])) {
     return Result.ok(state);
   }
-  const draft = draftOf(state);
+  const draft = createDraft(state);
   for (const line of lines) {
     const fault = applyToDraft(draft, line, 'open');
     if (fault) return Result.err(fault);
@@ -80,7 +81,7 @@
   return Result.ok(draft.state);
 }
 
-/** Registers an incarnation; a second registration changes nothing. */
+/** Registers an incarnation as a holder. A second registration changes nothing. */
 export function registerHolder(
   state: JournalState,
   holder: IncarnationId,
@@ -98,14 +99,14 @@
     done: [],
     segments: { first: state.segment, last: state.segment },
     since: now,
-    ...(formerly.length > 0 && { formerly: formerly.slice(-MAX_FORMER) }),
+    ...(formerly.length > 0 && { formerly: formerly.slice(-MAX_FORMER_INCARNATIONS) }),
   };
   return { ...state, holders: { ...state.holders, [holder]: entry } };
 }
 
 /**
- * Finds the incarnation that now answers for a witness: the witness itself, or the one that its
- * process became after it was sealed.
+ * Finds the incarnation that now answers for a witness: the witness itself, or the latest incarnation
+ * of the same process if the witness was sealed.
  */
 export function answeringIncarnation(state: JournalState, witness: IncarnationId): IncarnationId {
   const successors = Object.entries(state.holders)
@@ -114,7 +115,7 @@
   return successors[0]?.[0] ?? witness;
 }
 
-/** Begins to seal a holder: from here on its own lines are refused. */
+/** Starts to seal a holder. From now on the holder's own lines are refused. */
 export function startSeal(
   state: JournalState,
   holder: IncarnationId,
@@ -126,9 +127,9 @@
 }
 
 /**
- * Ends the sealing with the lines of all its witnesses; positive slices fall back into the pool.
- * The caller must have the answers of every witness that the journal names, taken after
- * `sealing` was written.
+ * Completes the sealing with the lines of all witnesses. Positive slices return to the pool. The
+ * caller must have an answer from every witness listed in the journal, received after `sealing` was
+ * written.
  */
 export function finishSeal(
   state: JournalState,
@@ -139,7 +140,7 @@
   if (!entry) return Result.err(unknownHolder(holder));
   if (entry.state === 'sealed' || entry.state === 'closed') return Result.ok(state);
   if (entry.state !== 'sealing') return Result.err(notSealing(holder));
-  const draft = draftOf(state);
+  const draft = createDraft(state);
   for (const line of sortLines(lines.filter((one) => one.holder === holder))) {
     const fault = applyToDraft(draft, line, 'sealing');
     if (fault) return Result.err(fault);
@@ -149,8 +150,9 @@
 }
 
 /**
- * Ends a holder that can never be sealed, because an operator states that it and a witness are
- * destroyed. What it held may have been spent by bills that are lost, so it is billed, not freed.
+ * Ends a holder that can never be sealed, because an operator stated that it and a witness are
+ * destroyed. The tokens that it held may have been spent by bills that are lost, so they are billed
+ * instead of freed.
  */
 export function writeOff(
   state: JournalState,
@@ -161,7 +163,7 @@
   if (!entry) return Result.err(unknownHolder(holder));
   if (entry.state === 'sealed' || entry.state === 'closed') return Result.ok(state);
   if (entry.state !== 'sealing') return Result.err(notSealing(holder));
-  const draft = draftOf(state);
+  const draft = createDraft(state);
   for (const [account, amount] of Object.entries(entry.slices)) {
     if (amount > 0) chargeUnattributed(draft, holder, account, amount, now);
   }
@@ -171,12 +173,12 @@
   return Result.ok(draft.state);
 }
 
-/** What the claim said about a provisional bill. */
+/** Decision on a provisional bill, taken from the claim on its key. */
 export type ProvisionalVerdict = 'billed' | 'void';
 
 /**
- * Settles a provisional bill, once: `billed` puts it on the invoice; `void` frees its tokens, because
- * another ticket of the same key is billed. Later calls change nothing.
+ * Settles a provisional bill once. `billed` adds it to the invoice. `void` frees its tokens, because
+ * another ticket with the same key is billed. Later calls change nothing.
  *
  * @example
  * state = settleProvisional(state, { issuer: holder, number: 7 }, 'void');
@@ -186,12 +188,12 @@
   ticket: TicketId,
   verdict: ProvisionalVerdict,
 ): JournalState {
-  const isMeant = (bill: Bill): boolean =>
+  const isMatch = (bill: Bill): boolean =>
     bill.holder === ticket.issuer && bill.ticket === ticket.number;
-  const found = state.provisional?.find(isMeant);
+  const found = state.provisional?.find(isMatch);
   if (!found) return state;
-  const draft = draftOf(state);
-  draft.state.provisional = (state.provisional ?? []).filter((bill) => !isMeant(bill));
+  const draft = createDraft(state);
+  draft.state.provisional = (state.provisional ?? []).filter((bill) => !isMatch(bill));
   if (verdict === 'billed') {
     const bill = { ...found };
     delete bill.unclaimed;
@@ -200,28 +202,28 @@
   return draft.state;
 }
 
-/** Copies what the ledger granted, by maximum, so that a late copy changes nothing. */
+/** Merges the total that the ledger granted, by maximum, so that an outdated total has no effect. */
 export function recordGrant(
   state: JournalState,
   account: AccountId,
   grantedIn: Tokens,
 ): JournalState {
   if (grantedIn <= (state.accounts[account]?.grantedIn ?? 0)) return state;
-  const draft = draftOf(state);
+  const draft = createDraft(state);
   editAccount(draft, account).grantedIn = grantedIn;
   return draft.state;
 }
 
-/** Hands up to `amount` tokens back to the ledger, out of the pool only. */
+/** Returns up to `amount` tokens from the pool to the ledger. Tokens in slices are not touched. */
 export function startReturn(state: JournalState, account: AccountId, amount: Tokens): JournalState {
   const returned = Math.min(amount, pool(state, account));
   if (returned <= 0) return state;
-  const draft = draftOf(state);
+  const draft = createDraft(state);
   editAccount(draft, account).returnedOut += returned;
   return draft.state;
 }
 
-/** What the open segment holds, to be created as an object before {@link rollSegment}. */
+/** Returns the contents of the open segment, to be stored as an object before {@link rollSegment}. */
 export function openSegment(state: JournalState): BillSegment {
   return {
     dataCentre: state.dataCentre,
@@ -232,9 +234,9 @@
 }
 
 /**
- * Drops what a created segment holds and opens the next. Bills are only ever appended, so the
- * segment is a prefix of the journal also when a router died between the two writes and more bills
- * came since.
+ * Removes the contents of a stored segment from the journal and opens the next segment. Bills are
+ * only appended, so the segment is a prefix of the journal's bills even if a router crashed between
+ * the two writes and more bills were added since.
  */
 export function rollSegment(state: JournalState, segment: BillSegment): JournalState {
   if (segment.number !== state.segment) return state;
@@ -249,8 +251,8 @@
   return { ...state, holders: Object.fromEntries(holders), segment: number, bills, outcomes };
 }
 
-/** Removes the oldest ended holders beyond `keep`, so that the object stays small. */
-export function pruneHolders(state: JournalState, keep = DEFAULT_KEPT_HOLDERS): JournalState {
+/** Removes the oldest ended holders beyond the newest `keep`, so that the object stays small. */
+export function pruneHolders(state: JournalState, keep = DEFAULT_MAX_ENDED_HOLDERS): JournalState {
   const ended = Object.entries(state.holders)
     .filter(([, holder]) => holder.state === 'sealed' || holder.state === 'closed')
     .filter(([, holder]) => Object.keys(holder.slices).length === 0)
@@ -271,7 +273,7 @@
   if (line.seq <= entry.seq) return undefined;
   if (entry.state !== required) return notOpen(line.holder, entry.state);
   if (line.seq !== entry.seq + 1) return gap(line, entry.seq);
-  const fault = faultInChange(line);
+  const fault = findChangeFault(line);
   if (fault) return fault;
   const holder = editHolder(draft, line.holder);
   if (!holder) return unknownHolder(line.holder);
@@ -283,9 +285,9 @@
 function endHolder(draft: JournalDraft, id: IncarnationId): void {
   const holder = editHolder(draft, id);
   if (!holder) return;
-  // a kept `close` line has ended the holder already.
+  // A `close` line that a witness stored has already ended the holder.
   if (holder.state !== 'closed') holder.state = 'sealed';
-  dropFreeSlices(holder);
+  releaseSlices(holder);
 }
 
 function chargeUnattributed(
@@ -318,18 +320,24 @@
 }
 
 function unknownHolder(holder: IncarnationId): JournalFault {
-  return { code: 'unknown-holder', message: `register holder "${holder}" before its lines.` };
+  return {
+    code: 'unknown-holder',
+    message: `register holder "${holder}" before sending its lines.`,
+  };
 }
 
 function notOpen(holder: IncarnationId, state: JournalHolder['state']): JournalFault {
   return {
     code: 'not-open',
-    message: `holder "${holder}" is ${state}; start over as a new incarnation.`,
+    message: `holder "${holder}" is ${state}; register a new incarnation.`,
   };
 }
 
 function notSealing(holder: IncarnationId): JournalFault {
-  return { code: 'not-sealing', message: `start to seal holder "${holder}" first.` };
+  return {
+    code: 'not-sealing',
+    message: `holder "${holder}" is not being sealed; call startSeal first.`,
+  };
 }
 
 function gap(line: JournalLine, seq: number): JournalFault {
--- a/packages/core/src/runtime/journalChange.ts
+++ b/packages/core/src/runtime/journalChange.ts
@@ -1,24 +1,24 @@
-/** Effect of each kind of line on the journal. */
+/** Validates journal lines and applies them, one function per kind of change. */
 
 import type { Bill, JournalFault, JournalHolder, JournalLine } from '../types/journal.js';
 import type { IncarnationId, Tokens } from '../types/ids.js';
 import type { JournalDraft } from './journalDraft.js';
 import { addToIntervals, hasInterval } from '../utils/intervals.js';
-import { addToSlice, dropFreeSlices, editAccount, editHolder } from './journalDraft.js';
+import { addToSlice, releaseSlices, editAccount, editHolder } from './journalDraft.js';
 import { pool } from './journalTotals.js';
 
-/** Finds what makes a line unacceptable whatever the state is. */
-export function faultInChange(line: JournalLine): JournalFault | undefined {
+/** Finds a fault that makes a line invalid regardless of the journal's state. */
+export function findChangeFault(line: JournalLine): JournalFault | undefined {
   const { change } = line;
   switch (change.type) {
     case 'take':
     case 'give':
     case 'transfer':
-      return faultInAmount(change.amount);
+      return findAmountFault(change.amount);
     case 'bill':
-      return faultInAmount(change.bill.cost) ?? faultInHolder(line, change.bill.holder);
+      return findAmountFault(change.bill.cost) ?? findHolderFault(line, change.bill.holder);
     case 'outcome':
-      return faultInHolder(line, change.outcome.holder);
+      return findHolderFault(line, change.outcome.holder);
     case 'intent':
     case 'not-run':
     case 'witnesses':
@@ -27,7 +27,7 @@
   }
 }
 
-/** Applies the change of a line that is known to be the holder's next. */
+/** Applies the change of a line. The caller has checked that it is the holder's next line. */
 export function applyChange(draft: JournalDraft, holder: JournalHolder, line: JournalLine): void {
   const { change } = line;
   switch (change.type) {
@@ -59,7 +59,7 @@
       return;
     case 'close':
       holder.state = 'closed';
-      dropFreeSlices(holder);
+      releaseSlices(holder);
       return;
   }
 }
@@ -70,19 +70,20 @@
 }
 
 /**
- * Credits a transfer. The receiver may have been told, have spent the tokens and have ended before
- * the sender's line arrives; then its slice is negative and is made up for here.
+ * Credits a transfer. The sender notifies the receiver directly, so the receiver may have spent the
+ * tokens and ended before the sender's line arrives. Its slice is then negative, and the credit
+ * compensates for it.
  */
 function receive(draft: JournalDraft, to: IncarnationId, account: string, amount: Tokens): void {
   const receiver = editHolder(draft, to);
-  // a receiver that is not registered here can spend nothing: the tokens fall into the pool.
+  // An unregistered receiver cannot spend anything, so the tokens return to the pool.
   if (!receiver) return;
   addToSlice(receiver, account, amount);
-  if (receiver.state === 'sealed' || receiver.state === 'closed') dropFreeSlices(receiver);
+  if (receiver.state === 'sealed' || receiver.state === 'closed') releaseSlices(receiver);
 }
 
 function bill(draft: JournalDraft, holder: JournalHolder, entry: Bill): void {
-  // a second bill for one ticket is a fault of its holder; the caller must not pay for it.
+  // A second bill for a ticket is a fault of its holder, and the caller must not pay for it.
   if (hasInterval(holder.done, entry.ticket)) return;
   addToSlice(holder, entry.account, -entry.cost);
   if (entry.unclaimed === undefined) charge(draft, entry);
@@ -90,7 +91,7 @@
   complete(draft, holder, entry.ticket);
 }
 
-/** Adds a bill to the invoice and to what was spent. */
+/** Adds a bill to the invoice and its cost to the totals. */
 export function charge(draft: JournalDraft, entry: Bill): void {
   const totals = editAccount(draft, entry.account);
   totals.spent += entry.cost;
@@ -115,12 +116,18 @@
   holder.openIntents = holder.openIntents.filter((open) => open !== ticket);
 }
 
-function faultInAmount(amount: Tokens): JournalFault | undefined {
+function findAmountFault(amount: Tokens): JournalFault | undefined {
   if (Number.isSafeInteger(amount) && amount >= 0) return undefined;
-  return { code: 'invalid', message: `use a whole, non-negative number of tokens, not ${amount}.` };
+  return {
+    code: 'invalid',
+    message: `token amount must be a non-negative integer, got ${amount}.`,
+  };
 }
 
-function faultInHolder(line: JournalLine, named: IncarnationId): JournalFault | undefined {
+function findHolderFault(line: JournalLine, named: IncarnationId): JournalFault | undefined {
   if (named === line.holder) return undefined;
-  return { code: 'invalid', message: `a line of "${line.holder}" must not name "${named}".` };
+  return {
+    code: 'invalid',
+    message: `a line of holder "${line.holder}" must not refer to holder "${named}".`,
+  };
 }
--- a/packages/core/src/runtime/journalDraft.ts
+++ b/packages/core/src/runtime/journalDraft.ts
@@ -1,17 +1,17 @@
-/** Copy-on-write editing of a journal, so that a batch of lines copies each part at most once. */
+/** Copy-on-write editing of a journal. A batch of lines copies each holder and account only once. */
 
 import type { AccountId, IncarnationId, Tokens } from '../types/ids.js';
 import type { JournalAccount, JournalHolder, JournalState } from '../types/journal.js';
 
-/** A journal being edited; parts are copied on the first edit. */
+/** A journal being edited. Holders and accounts are copied on their first edit. */
 export interface JournalDraft {
   state: JournalState;
-  ownHolders: Set<IncarnationId>;
-  ownAccounts: Set<AccountId>;
+  copiedHolders: Set<IncarnationId>;
+  copiedAccounts: Set<AccountId>;
 }
 
-/** Begins an edit; the given state is never changed. */
-export function draftOf(state: JournalState): JournalDraft {
+/** Starts an edit. The given state is not changed. */
+export function createDraft(state: JournalState): JournalDraft {
   return {
     state: {
       ...state,
@@ -21,15 +21,15 @@
       outcomes: [...state.outcomes],
       ...(state.provisional && { provisional: [...state.provisional] }),
     },
-    ownHolders: new Set(),
-    ownAccounts: new Set(),
+    copiedHolders: new Set(),
+    copiedAccounts: new Set(),
   };
 }
 
-/** Gives a holder that may be changed in place; `undefined` when it is not registered. */
+/** Returns a holder that may be changed in place, or `undefined` if it is not registered. */
 export function editHolder(draft: JournalDraft, id: IncarnationId): JournalHolder | undefined {
   const holder = draft.state.holders[id];
-  if (!holder || draft.ownHolders.has(id)) return holder;
+  if (!holder || draft.copiedHolders.has(id)) return holder;
   const copy = {
     ...holder,
     slices: { ...holder.slices },
@@ -37,35 +37,35 @@
     segments: { ...holder.segments },
   };
   draft.state.holders[id] = copy;
-  draft.ownHolders.add(id);
+  draft.copiedHolders.add(id);
   return copy;
 }
 
-/** Gives an account that may be changed in place; a new one starts at zero. */
+/** Returns an account that may be changed in place. A new account starts at zero. */
 export function editAccount(draft: JournalDraft, id: AccountId): JournalAccount {
   const account = draft.state.accounts[id];
-  if (account && draft.ownAccounts.has(id)) return account;
+  if (account && draft.copiedAccounts.has(id)) return account;
   const copy = account
     ? { ...account, spentByClass: { ...account.spentByClass } }
     : { grantedIn: 0, returnedOut: 0, spent: 0, spentByClass: {} };
   draft.state.accounts[id] = copy;
-  draft.ownAccounts.add(id);
+  draft.copiedAccounts.add(id);
   return copy;
 }
 
-/** Adds to a holder's slice; an empty slice is left out. */
+/** Adds tokens to a holder's slice. A slice of zero is removed. */
 export function addToSlice(holder: JournalHolder, account: AccountId, amount: Tokens): void {
   const next = (holder.slices[account] ?? 0) + amount;
   holder.slices = withSlice(holder.slices, account, next);
 }
 
 /**
- * Frees what an ended holder still has. A negative slice stays: the transfer that covers it has
- * not been applied yet, and dropping it would charge the same tokens to the pool a second time.
+ * Frees the positive slices of an ended holder. A negative slice stays: the transfer that covers it
+ * has not been applied yet, and removing it would charge the same tokens to the pool twice.
  */
-export function dropFreeSlices(holder: JournalHolder): void {
-  const owing = Object.entries(holder.slices).filter(([, amount]) => amount < 0);
-  holder.slices = Object.fromEntries(owing);
+export function releaseSlices(holder: JournalHolder): void {
+  const negative = Object.entries(holder.slices).filter(([, amount]) => amount < 0);
+  holder.slices = Object.fromEntries(negative);
 }
 
 function withSlice(
--- a/packages/core/src/runtime/journalTotals.ts
+++ b/packages/core/src/runtime/journalTotals.ts
@@ -1,9 +1,9 @@
-/** Sums over a journal. */
+/** Token totals computed from a journal. */
 
 import type { AccountId, Tokens } from '../types/ids.js';
 import type { JournalHolder, JournalState } from '../types/journal.js';
 
-/** Tokens of the data centre that no holder has; what `take` and `startReturn` draw from. */
+/** Tokens of the data centre that no holder has. `take` and `startReturn` draw from this pool. */
 export function pool(state: JournalState, account: AccountId): Tokens {
   const totals = state.accounts[account];
   if (!totals) return 0;
@@ -12,12 +12,12 @@
   return Math.max(0, totals.grantedIn - totals.returnedOut - charged);
 }
 
-/** Tokens held by holders that are being sealed: charged, and not spendable until they are. */
+/** Tokens of holders that are being sealed: charged, and not spendable until sealing is complete. */
 export function inDoubt(state: JournalState, account: AccountId): Tokens {
   return sumSlices(state, account, (holder) => holder.state === 'sealing');
 }
 
-/** Names the first account whose spend and slices exceed what was granted; none is sound. */
+/** Returns the first account whose spend and slices exceed its grants, or `undefined` if none does. */
 export function checkInvariant(state: JournalState): AccountId | undefined {
   return Object.keys(state.accounts).find((account) => {
     const totals = state.accounts[account];
@@ -28,7 +28,7 @@
   });
 }
 
-/** Cost of answered requests whose bill waits for the claim on its key. */
+/** Cost of answered requests whose bills are provisional because their key is not claimed yet. */
 export function provisionalSum(state: JournalState, account: AccountId): Tokens {
   const own = (state.provisional ?? []).filter((bill) => bill.account === account);
   return own.reduce((sum, bill) => sum + bill.cost, 0);
--- a/packages/core/src/runtime/ledger.ts
+++ b/packages/core/src/runtime/ledger.ts
@@ -1,13 +1,13 @@
-/** Reducer of a ledger page: budgets and what each data centre took from them. */
+/** Reducer of a ledger page: budgets, and the tokens that each data centre took from them. */
 
 import type { AccountId, DataCentreId, EpochMs, Tokens } from '../types/ids.js';
 import type { BudgetChange, LedgerAccount, LedgerPage, LedgerShare } from '../types/ledger.js';
 import { Result } from 'true-myth';
 
-/** Id of the change that wrote the declared opening budget. */
+/** Id of the change that sets the declared opening budget. */
 export const OPENING_CHANGE = 'opening';
 
-/** Changes remembered per account; a repeat of an older one would count again. */
+/** Number of changes stored per account. Repeating an older change would apply it again. */
 const MAX_CHANGES = 100;
 
 const FNV_OFFSET = 0x811c9dc5;
@@ -38,7 +38,7 @@
   return { page, accounts: {} };
 }
 
-/** Opens an account with its declared budget, once. */
+/** Opens an account with its declared budget. A second call changes nothing. */
 export function openAccount(
   page: LedgerPage,
   account: AccountId,
@@ -56,8 +56,8 @@
 }
 
 /**
- * Tops a budget up or reduces it, once per change id. A reduction is honoured down to what data
- * centres hold or have spent; the rest waits in `pendingReduction` until they hand tokens back.
+ * Tops up or reduces a budget, once per change id. The limit never falls below what data centres
+ * hold or have spent; the rest of a reduction stays in `pendingReduction` until they return tokens.
  *
  * @example
  * changeBudget(page, 'red-cross-shop', { id: 'receipt-812', amount: 50_000, by: 'oyun', at: now });
@@ -82,7 +82,7 @@
   return Result.ok(withAccount(page, account, settleReduction(raised)));
 }
 
-/** Grants a data centre up to `amount` more tokens, as far as the limit allows. */
+/** Grants a data centre up to `amount` more tokens within the limit. */
 export function grant(
   page: LedgerPage,
   account: AccountId,
@@ -97,7 +97,10 @@
   return withShare(page, account, dataCentre, { ...share, grantedIn: share.grantedIn + granted });
 }
 
-/** Copies what a data centre handed back, by maximum; a waiting reduction takes it first. */
+/**
+ * Merges the total that a data centre returned, by maximum. A pending reduction takes the returned
+ * tokens first.
+ */
 export function mergeReturned(
   page: LedgerPage,
   account: AccountId,
@@ -113,7 +116,7 @@
   return merged ? withAccount(next, account, settleReduction(merged)) : next;
 }
 
-/** Copies what a data centre spent, by maximum. */
+/** Merges the total that a data centre spent, by maximum. */
 export function mergeSpent(
   page: LedgerPage,
   account: AccountId,
@@ -128,7 +131,7 @@
   return withShare(page, account, dataCentre, { ...share, spent, spentByClass });
 }
 
-/** Tokens that no data centre holds or has spent, and that no reduction waits for. */
+/** Tokens that no data centre holds or has spent and that no pending reduction needs. */
 export function ungranted(entry: LedgerAccount): Tokens {
   return Math.max(0, entry.limit - committed(entry) - entry.pendingReduction);
 }
@@ -140,12 +143,12 @@
   return sum;
 }
 
-/** What a data centre has taken so far; zeros when it has taken nothing. */
+/** Returns the totals of a data centre, all zero if it has taken nothing. */
 export function shareOf(entry: LedgerAccount, dataCentre: DataCentreId): LedgerShare {
   return entry.shares[dataCentre] ?? { grantedIn: 0, returnedOut: 0, spent: 0 };
 }
 
-/** Names the first account of which more was granted than its limit; none is sound. */
+/** Returns the first account whose grants exceed its limit, or `undefined` if none does. */
 export function checkLedgerInvariant(page: LedgerPage): AccountId | undefined {
   const accounts = Object.entries(page.accounts);
   return accounts.find(([, entry]) => committed(entry) > entry.limit)?.[0];
@@ -180,14 +183,17 @@
 }
 
 function unknownAccount(account: AccountId): LedgerFault {
-  return { code: 'unknown-account', message: `declare client account "${account}" first.` };
+  return {
+    code: 'unknown-account',
+    message: `client account "${account}" is not declared; declare it first.`,
+  };
 }
 
 function invalidAmount(amount: Tokens): LedgerFault {
-  return { code: 'invalid-amount', message: `use a whole number of tokens, not ${amount}.` };
+  return { code: 'invalid-amount', message: `token amount must be an integer, got ${amount}.` };
 }
 
 function idReused(id: string): LedgerFault {
-  const message = `change "${id}" was made with another amount; use a new id.`;
+  const message = `change id "${id}" was already used with another amount; use a new id.`;
   return { code: 'id-reused', message };
 }
--- a/packages/core/src/runtime/prepaid/loanBook.ts
+++ b/packages/core/src/runtime/prepaid/loanBook.ts
@@ -8,7 +8,7 @@
 import { knownDemand } from './demandSpread.js';
 
 /** Part of the free tokens that is lent ahead of requests while some want more. */
-const LENT_AHEAD = 0.5;
+const MAX_SPECULATIVE_FRACTION = 0.5;
 
 /** What one borrower holds of an account. */
 interface Loan {
@@ -23,15 +23,15 @@
   incarnation: IncarnationId;
   /** Number of the last report that was taken in. */
   seq: number;
-  heardAt: EpochMs;
+  reportedAt: EpochMs;
   loans: Map<AccountId, Loan>;
 }
 
 /** What became of a borrower's report. */
-export type LoanReportEnd = 'taken' | 'forgotten';
+export type LoanReportOutcome = 'taken' | 'forgotten';
 
 /** Loans that were given up, because their borrower was replaced or silent for long. */
-export interface LostLoans {
+export interface ChargedLoans {
   borrower: string;
   incarnation: IncarnationId;
   tokens: Tokens;
@@ -51,22 +51,22 @@
   /** Of all borrowers, by account. */
   readonly #demand = new Map<AccountId, KnownDemand>();
   /** Life of the holder whose rights are lent. */
-  #life: IncarnationId;
-  #lost: LostLoans[] = [];
+  #incarnation: IncarnationId;
+  #charged: ChargedLoans[] = [];
 
   constructor(holder: PrepaidHolder) {
     this.#holder = holder;
-    this.#life = holder.incarnation;
+    this.#incarnation = holder.incarnation;
   }
 
   /** Names the rights that are lent; loans of another life are charged already. */
   get life(): IncarnationId {
-    if (this.#life !== this.#holder.incarnation) {
-      this.#life = this.#holder.incarnation;
+    if (this.#incarnation !== this.#holder.incarnation) {
+      this.#incarnation = this.#holder.incarnation;
       this.#borrowers.clear();
       this.#demand.clear();
     }
-    return this.#life;
+    return this.#incarnation;
   }
 
   get borrowers(): number {
@@ -94,9 +94,9 @@
   }
 
   /** Loans given up since this was last asked, for the log. */
-  takeLost(): LostLoans[] {
-    const lost = this.#lost;
-    this.#lost = [];
+  takeLost(): ChargedLoans[] {
+    const lost = this.#charged;
+    this.#charged = [];
     return lost;
   }
 
@@ -109,28 +109,28 @@
     report: PrepaidReport,
     urgent: Readonly<Record<AccountId, Tokens>>,
     now: EpochMs,
-  ): LoanReportEnd {
+  ): LoanReportOutcome {
     const { instance, incarnation, seq } = report;
     const known = this.#borrowers.get(instance);
     if (known?.incarnation === incarnation && known.seq >= seq) return 'taken';
     if (seq > 1 && known?.incarnation !== incarnation) return 'forgotten';
-    if (known && known.incarnation !== incarnation) this.#giveUp(instance, known);
-    if (!this.#isCovered(report)) {
-      if (known) this.#giveUp(instance, known);
+    if (known && known.incarnation !== incarnation) this.#chargeBorrower(instance, known);
+    if (!this.#isCoveredByLoans(report)) {
+      if (known) this.#chargeBorrower(instance, known);
       return 'forgotten';
     }
     const isSame = known?.incarnation === incarnation;
     const borrower: Borrower = isSame
       ? known
-      : { incarnation, seq, heardAt: now, loans: new Map() };
+      : { incarnation, seq, reportedAt: now, loans: new Map() };
     borrower.seq = seq;
-    borrower.heardAt = now;
+    borrower.reportedAt = now;
     this.#borrowers.set(instance, borrower);
     for (const [account, entry] of Object.entries(report.entries)) {
       this.#apply(borrower, account, entry, urgent[account] ?? 0);
     }
-    if (report.last) this.#giveUp(instance, borrower);
-    for (const account of Object.keys(report.entries)) this.#noteLending(account);
+    if (report.last) this.#chargeBorrower(instance, borrower);
+    for (const account of Object.keys(report.entries)) this.#updateLending(account);
     return 'taken';
   }
 
@@ -160,19 +160,19 @@
       const lent = this.#holder.lend(account, amount);
       loan.held += lent;
       loan.unmet = Math.max(0, loan.unmet - lent);
-      this.#noteLending(account);
+      this.#updateLending(account);
     }
   }
 
   /** Gives up the loans of borrowers that were not heard for long; returns their names. */
   dropSilent(silentMs: number, now: EpochMs): string[] {
-    const silent = [...this.#borrowers].filter(([, { heardAt }]) => now - heardAt >= silentMs);
-    for (const [name, borrower] of silent) this.#giveUp(name, borrower);
+    const silent = [...this.#borrowers].filter(([, { reportedAt: heardAt }]) => now - heardAt >= silentMs);
+    for (const [name, borrower] of silent) this.#chargeBorrower(name, borrower);
     return silent.map(([name]) => name);
   }
 
   /** Whether a report says no more than what was lent; otherwise nothing it says can be relied on. */
-  #isCovered({ instance, entries }: PrepaidReport): boolean {
+  #isCoveredByLoans({ instance, entries }: PrepaidReport): boolean {
     return Object.entries(entries).every(([account, { spent, keeps }]) => {
       return spent >= 0 && keeps >= 0 && spent + keeps <= this.held(instance, account);
     });
@@ -187,7 +187,7 @@
     const loan = this.#loan(borrower, account);
     this.#holder.endLoan(account, loan.held - keeps, spent);
     const free = this.#holder.free(account);
-    const ahead = free >= wants ? wants : Math.min(wants, LENT_AHEAD * free);
+    const ahead = free >= wants ? wants : Math.min(wants, MAX_SPECULATIVE_FRACTION * free);
     const lent = this.#holder.lend(account, Math.max(ahead, Math.min(urgent, free)));
     loan.held = keeps + lent;
     loan.rate = rate;
@@ -202,17 +202,17 @@
     return loan;
   }
 
-  #giveUp(name: string, { incarnation, loans }: Borrower): void {
+  #chargeBorrower(name: string, { incarnation, loans }: Borrower): void {
     this.#borrowers.delete(name);
     const tokens = sum(heldOf(loans));
-    if (tokens > 0) this.#lost.push({ borrower: name, incarnation, tokens });
+    if (tokens > 0) this.#charged.push({ borrower: name, incarnation, tokens });
     for (const [account, { held }] of loans) {
       this.#holder.endLoan(account, held, held);
-      this.#noteLending(account);
+      this.#updateLending(account);
     }
   }
 
-  #noteLending(account: AccountId): void {
+  #updateLending(account: AccountId): void {
     const loans = [...this.#borrowers.values()].flatMap(({ loans }) => loans.get(account) ?? []);
     const demand = knownDemand(loans.map(({ rate }) => rate));
     this.#demand.set(account, demand);
--- a/packages/core/src/runtime/prepaid/memberWatch.ts
+++ b/packages/core/src/runtime/prepaid/memberWatch.ts
@@ -4,8 +4,8 @@
 import type { PrepaidPage } from '../../types/prepaid.js';
 
 /** The last sign of an instance that was seen, and when it was new. */
-interface Sign {
-  mark: string;
+interface LastReport {
+  id: string;
   since: EpochMs;
 }
 
@@ -19,7 +19,7 @@
  */
 export class MemberWatch {
   readonly #silentMs: number;
-  #signs = new Map<string, Sign>();
+  #lastReports = new Map<string, LastReport>();
 
   /** @param silentMs milliseconds without a new report after which an instance is lost. */
   constructor(silentMs: number) {
@@ -29,15 +29,15 @@
   /** Instances that this watch has seen no new report of for long, whether members or on the page only. */
   silent(members: readonly string[], page: PrepaidPage, now: EpochMs): string[] {
     const names = [...new Set([...members, ...Object.keys(page.writers)])];
-    const signs = names.map((name): [string, Sign] => [name, this.#sign(name, page, now)]);
-    this.#signs = new Map(signs);
+    const signs = names.map((name): [string, LastReport] => [name, this.#lastReport(name, page, now)]);
+    this.#lastReports = new Map(signs);
     return signs.filter(([, { since }]) => now - since >= this.#silentMs).map(([name]) => name);
   }
 
-  #sign(name: string, { writers }: PrepaidPage, now: EpochMs): Sign {
+  #lastReport(name: string, { writers }: PrepaidPage, now: EpochMs): LastReport {
     const writer = writers[name];
     const mark = writer ? `${writer.incarnation}#${String(writer.seq)}` : '';
-    const before = this.#signs.get(name);
-    return before?.mark === mark ? before : { mark, since: now };
+    const before = this.#lastReports.get(name);
+    return before?.id === mark ? before : { id: mark, since: now };
   }
 }
--- a/packages/core/src/runtime/prepaid/prepaidBudgets.ts
+++ b/packages/core/src/runtime/prepaid/prepaidBudgets.ts
@@ -8,7 +8,7 @@
   PrepaidPage,
 } from '../../types/prepaid.js';
 import { sum } from '../../utils/sum.js';
-import { emptyPrepaidAccount, ownPrepaid, undealtPrepaid } from './prepaidPage.js';
+import { emptyPrepaidAccount, netGrant, undealtPrepaid } from './prepaidPage.js';
 
 /** Limit of each account, from the configuration in force; an account without one is not limited. */
 export type PrepaidLimits = ReadonlyMap<AccountId, Tokens>;
@@ -17,17 +17,17 @@
  * Grants that are left for each group in what remains when it asks, so that a group that asks first
  * does not take all. With one group each grant is half of the rest: a budget takes some ten of them.
  */
-const GRANTS_LEFT = 2;
+const GRANT_DIVISOR = 2;
 
 /**
  * Part of what a group would be granted now below which an account runs low there. Then it is filled up
  * when the group asks for another, as all groups write the same object and get in each other's way: one
  * write for several accounts instead of one for each.
  */
-const RUNS_LOW = 0.5;
+const LOW_GRANT_FRACTION = 0.5;
 
 /** Part of a group's even limit below which nothing is given back; each return costs a call. */
-const LEAST_RETURN = 0.05;
+const MIN_RETURN_FRACTION = 0.05;
 
 const NO_GRANT: PrepaidGrant = { granted: 0, returned: 0, gone: 0 };
 
@@ -83,7 +83,7 @@
   limit: Tokens,
 ): Tokens {
   const grants = Object.values(budgets.grants[account] ?? {});
-  return Math.max(0, limit - sum(grants.map(ownPrepaid)));
+  return Math.max(0, limit - sum(grants.map(netGrant)));
 }
 
 /** The most of an account that can be left anywhere. */
@@ -111,7 +111,7 @@
 ): Map<AccountId, Tokens> {
   const wanted = new Map<AccountId, Tokens>();
   for (const [account, lacks] of lacking) {
-    const stillLacks = lacks - comingGrant(budgets, group, page, account);
+    const stillLacks = lacks - pendingGrant(budgets, group, page, account);
     const rest = ungrantedPrepaid(budgets, account, limits.get(account) ?? 0);
     if (stillLacks > 0 && rest > 0) wanted.set(account, stillLacks);
   }
@@ -121,14 +121,14 @@
     if (wanted.has(account)) continue;
     const fair = fairGrant(ungrantedPrepaid(budgets, account, limit), groups);
     const undealt = undealtPrepaid(page.accounts[account] ?? emptyPrepaidAccount());
-    const has = undealt + comingGrant(budgets, group, page, account);
-    if (has < RUNS_LOW * fair) wanted.set(account, 0);
+    const has = undealt + pendingGrant(budgets, group, page, account);
+    if (has < LOW_GRANT_FRACTION * fair) wanted.set(account, 0);
   }
   return wanted;
 }
 
 /** What a group was granted of an account and its page does not show yet. */
-function comingGrant(
+function pendingGrant(
   budgets: PrepaidBudgets,
   group: string,
   page: PrepaidPage,
@@ -140,7 +140,7 @@
 
 /** What a group is granted of the rest of an account when it asks without lacking more. */
 function fairGrant(rest: Tokens, groups: number): Tokens {
-  return rest / (GRANTS_LEFT * groups);
+  return rest / (GRANT_DIVISOR * groups);
 }
 
 /**
@@ -157,7 +157,7 @@
   lacking: ReadonlyMap<AccountId, Tokens>,
   limits: PrepaidLimits,
 ): PrepaidBudgets {
-  const known = takePage(budgets, group, page);
+  const known = mergePage(budgets, group, page);
   const groups = countGroups(known);
   const grants = { ...known.grants };
   for (const [account, lacks] of lacking) {
@@ -197,9 +197,9 @@
     const account = accounts[name];
     if (!account) continue;
     const undealt = undealtPrepaid(account);
-    const fair = (beyond + undealt / groups) / GRANTS_LEFT;
+    const fair = (beyond + undealt / groups) / GRANT_DIVISOR;
     const surplus = Math.floor(undealt - fair);
-    if (undealt <= GRANTS_LEFT * fair || surplus < LEAST_RETURN * limitPart) continue;
+    if (undealt <= GRANT_DIVISOR * fair || surplus < MIN_RETURN_FRACTION * limitPart) continue;
     accounts[name] = { ...account, returned: account.returned + surplus };
   }
   return { ...page, accounts };
@@ -234,7 +234,7 @@
 }
 
 /** Takes in what the page says of returns and spending; both only grow. */
-function takePage(budgets: PrepaidBudgets, group: string, page: PrepaidPage): PrepaidBudgets {
+function mergePage(budgets: PrepaidBudgets, group: string, page: PrepaidPage): PrepaidBudgets {
   const grants = { ...budgets.grants };
   for (const [name, { returned, spent, inDoubt }] of Object.entries(page.accounts)) {
     const before = grants[name]?.[group];
--- a/packages/core/src/runtime/prepaid/prepaidHolder.ts
+++ b/packages/core/src/runtime/prepaid/prepaidHolder.ts
@@ -14,7 +14,7 @@
 } from '../../types/prepaid.js';
 import type { DemandEstimate } from '../demand.js';
 import type { PrepaidSizing } from './prepaidSizing.js';
-import { NO_DEMAND, observeDemand, settledDemand } from '../demand.js';
+import { NO_DEMAND, observeDemand, biasCorrectedDemand } from '../demand.js';
 import { sum } from '../../utils/sum.js';
 import { viewOfPage } from './prepaidView.js';
 
@@ -53,19 +53,19 @@
 /** State of one account at this process. */
 interface Holding {
   /** Tokens that may be spent and are not spent, those set aside included. */
-  rights: Tokens;
+  held: Tokens;
   reserved: Tokens;
   /** Spent and in no report that was taken in. */
   unreported: Tokens;
   /** Lacked by requests since the last report. */
   shortfall: Tokens;
   /** Asked for by requests that wait for the store's answer. */
-  awaited: Tokens;
+  awaitedByRequests: Tokens;
   demand: DemandEstimate;
   /** Since when the demand is observed. */
   demandSince: EpochMs;
   /** Rate that the store was last told. */
-  toldRate: number;
+  reportedRate: number;
   lending: Lending;
 }
 
@@ -80,20 +80,20 @@
 const NO_LENDING: Lending = { rate: 0, unmet: 0 };
 
 /** Weight of one request in the moving average of their sizes. */
-const TYPICAL_WEIGHT = 0.05;
+const TYPICAL_REQUEST_WEIGHT = 0.05;
 
 /** Free tokens that an account should have here. */
-interface Wish {
+interface FreeTarget {
   /** In general; a little more or less is not worth a report. */
-  level: Tokens;
+  target: Tokens;
   /** For requests that wait for them or were refused. */
-  least: Tokens;
+  minimum: Tokens;
 }
 
 /** Part by which a rate has to change before it is worth a report of its own. */
-const RATE_NEWS = 0.25;
+const MIN_RATE_CHANGE = 0.25;
 /** Part of its level by which an account's rights may differ from it without a report. */
-const LEVEL_SLACK = 0.1;
+const TARGET_TOLERANCE = 0.1;
 
 /**
  * Holdings of one process.
@@ -110,10 +110,10 @@
   readonly #aliveMs: number;
   readonly #newcomers: Newcomers;
   readonly #holdings = new Map<AccountId, Holding>();
-  #life = 1;
+  #incarnationNumber = 1;
   #nextSeq = 1;
   /** Whether a page has taken in a report of this life. */
-  #known = false;
+  #isKnownToPage = false;
   #reportedAt: EpochMs = -Infinity;
   #pending: PrepaidReport | undefined;
   #typicalRequest: Tokens = 0;
@@ -132,28 +132,28 @@
 
   /** Names the rights of this process; changes when they are lost. */
   get incarnation(): IncarnationId {
-    return `${this.#process}/${String(this.#life)}`;
+    return `${this.#process}/${String(this.#incarnationNumber)}`;
   }
 
   /** Tokens that may be set aside now. */
   free(account: AccountId): Tokens {
     const holding = this.#holdings.get(account);
-    return holding ? holding.rights - holding.reserved : 0;
+    return holding ? holding.held - holding.reserved : 0;
   }
 
   /** Tokens held in all, with those set aside. */
   held(account: AccountId): Tokens {
-    return this.#holdings.get(account)?.rights ?? 0;
+    return this.#holdings.get(account)?.held ?? 0;
   }
 
   /** Tokens held of all accounts. */
   get heldInAll(): Tokens {
-    return sum([...this.#holdings.values()].map(({ rights }) => rights));
+    return sum([...this.#holdings.values()].map(({ held: rights }) => rights));
   }
 
   /** Whether anything is held or set aside. */
   get hasRights(): boolean {
-    return [...this.#holdings.values()].some(({ rights, reserved }) => rights > 0 || reserved > 0);
+    return [...this.#holdings.values()].some(({ held: rights, reserved }) => rights > 0 || reserved > 0);
   }
 
   /** Whether anything was spent that no report has told yet, or a report is on its way. */
@@ -174,14 +174,14 @@
 
   /** Tokens that requests wait for beyond what is free. */
   awaited(account: AccountId): Tokens {
-    return Math.max(0, (this.#holdings.get(account)?.awaited ?? 0) - this.free(account));
+    return Math.max(0, (this.#holdings.get(account)?.awaitedByRequests ?? 0) - this.free(account));
   }
 
   /** Tokens a second that are asked for here and by borrowers. */
   rate(account: AccountId, now: EpochMs): number {
     const holding = this.#holdings.get(account);
     if (!holding) return 0;
-    return settledDemand(holding.demand, holding.demandSince, now) + holding.lending.rate;
+    return biasCorrectedDemand(holding.demand, holding.demandSince, now) + holding.lending.rate;
   }
 
   /** Tokens spent here that no page shows yet. */
@@ -201,14 +201,14 @@
 
   /** Notes the size of a request, here or at a borrower. */
   observeSize(amount: Tokens): void {
-    const weight = this.#typicalRequest === 0 ? 1 : TYPICAL_WEIGHT;
+    const weight = this.#typicalRequest === 0 ? 1 : TYPICAL_REQUEST_WEIGHT;
     this.#typicalRequest += weight * (amount - this.#typicalRequest);
   }
 
   /** Sets the most that a request may use aside; undefined when that much isn't held. */
   reserve(account: AccountId, amount: Tokens): PrepaidReservation | undefined {
     const holding = this.#holding(account);
-    if (holding.rights - holding.reserved < amount) {
+    if (holding.held - holding.reserved < amount) {
       holding.shortfall = Math.max(holding.shortfall, amount);
       return undefined;
     }
@@ -222,12 +222,12 @@
    * refused for want of them.
    */
   beginWait(account: AccountId, amount: Tokens): void {
-    this.#holding(account).awaited += amount;
+    this.#holding(account).awaitedByRequests += amount;
   }
 
   /** Ends what {@link beginWait} began. */
   endWait(account: AccountId, amount: Tokens): void {
-    this.#holding(account).awaited -= amount;
+    this.#holding(account).awaitedByRequests -= amount;
   }
 
   /** Ends a reservation with what was used; a second time changes nothing. */
@@ -239,14 +239,14 @@
     const holding = this.#holding(reservation.account);
     const spent = Math.min(reservation.amount, Math.max(0, Math.ceil(used)));
     holding.reserved -= reservation.amount;
-    holding.rights -= spent;
+    holding.held -= spent;
     holding.unreported += spent;
   }
 
   /** Sets tokens aside for another instance, as far as any are free; returns how many. */
   lend(account: AccountId, amount: Tokens): Tokens {
     const holding = this.#holding(account);
-    const lent = Math.max(0, Math.min(Math.floor(amount), holding.rights - holding.reserved));
+    const lent = Math.max(0, Math.min(Math.floor(amount), holding.held - holding.reserved));
     holding.reserved += lent;
     return lent;
   }
@@ -255,7 +255,7 @@
   endLoan(account: AccountId, amount: Tokens, spent: Tokens): void {
     const holding = this.#holding(account);
     holding.reserved -= amount;
-    holding.rights -= spent;
+    holding.held -= spent;
     holding.unreported += spent;
   }
 
@@ -266,7 +266,7 @@
 
   /** Whether a page no longer knows this process, though it took its reports in. */
   isForgotten(page: PrepaidPage): boolean {
-    return this.#known && page.writers[this.instance]?.incarnation !== this.incarnation;
+    return this.#isKnownToPage && page.writers[this.instance]?.incarnation !== this.incarnation;
   }
 
   /**
@@ -274,12 +274,12 @@
    * What requests in progress use of them is charged already.
    */
   renew(): void {
-    this.#life += 1;
+    this.#incarnationNumber += 1;
     this.#nextSeq = 1;
-    this.#known = false;
+    this.#isKnownToPage = false;
     this.#pending = undefined;
     for (const holding of this.#holdings.values()) {
-      holding.rights = 0;
+      holding.held = 0;
       holding.reserved = 0;
       holding.unreported = 0;
       holding.lending = NO_LENDING;
@@ -315,14 +315,14 @@
     const given = new Map<AccountId, Tokens>();
     for (const [account, accountView] of view.accounts) {
       const holding = this.#holding(account);
-      const ownRate = settledDemand(holding.demand, holding.demandSince, now);
-      const level = last ? 0 : this.#level(holding, ownRate, accountView, view);
-      const least = Math.max(holding.shortfall, holding.awaited);
+      const ownRate = biasCorrectedDemand(holding.demand, holding.demandSince, now);
+      const level = last ? 0 : this.#target(holding, ownRate, accountView, view);
+      const least = Math.max(holding.shortfall, holding.awaitedByRequests);
       const rate = ownRate + holding.lending.rate;
-      const entry = this.#entry(account, holding, { level: Math.max(level, least), least }, rate);
+      const entry = this.#entry(account, holding, { target: Math.max(level, least), minimum: least }, rate);
       if (!entry) continue;
       entries[account] = entry;
-      given.set(account, holding.rights - entry.keeps);
+      given.set(account, holding.held - entry.keeps);
     }
     const isDue = last || now - this.#reportedAt >= this.#aliveMs;
     if (given.size === 0 && view.isRegistered && !isDue) return undefined;
@@ -344,16 +344,16 @@
     const pending = this.#pending;
     if (!pending) return;
     this.#pending = undefined;
-    this.#known = true;
+    this.#isKnownToPage = true;
     for (const [account, entry] of Object.entries(pending.entries)) {
       const holding = this.#holding(account);
-      holding.rights += (heldOf(account) ?? entry.keeps) - entry.keeps;
+      holding.held += (heldOf(account) ?? entry.keeps) - entry.keeps;
       holding.unreported -= entry.spent;
-      holding.toldRate = entry.rate;
+      holding.reportedRate = entry.rate;
     }
   }
 
-  #level(
+  #target(
     { lending }: Holding,
     ownRate: number,
     { remaining, othersRate, spread }: PrepaidAccountView,
@@ -375,18 +375,18 @@
   #entry(
     account: AccountId,
     holding: Holding,
-    { level, least }: Wish,
+    { target: level, minimum: least }: FreeTarget,
     rate: number,
   ): PrepaidReportEntry | undefined {
-    const free = holding.rights - holding.reserved;
-    const gives = free > level * (1 + LEVEL_SLACK) ? Math.floor(free - level) : 0;
+    const free = holding.held - holding.reserved;
+    const gives = free > level * (1 + TARGET_TOLERANCE) ? Math.floor(free - level) : 0;
     // a request that waits is refused for a single token that is lacking, so its amount has no slack.
-    const isShort = free < Math.max(least, level * (1 - LEVEL_SLACK));
+    const isShort = free < Math.max(least, level * (1 - TARGET_TOLERANCE));
     const wants = isShort ? Math.ceil(level - free) : 0;
-    const rateNews = Math.abs(rate - holding.toldRate) > RATE_NEWS * Math.max(rate, 1);
+    const rateNews = Math.abs(rate - holding.reportedRate) > MIN_RATE_CHANGE * Math.max(rate, 1);
     if (gives === 0 && wants === 0 && holding.unreported === 0 && !rateNews) return undefined;
     holding.shortfall = 0;
-    const keeps = holding.rights - gives;
+    const keeps = holding.held - gives;
     return { spent: holding.unreported, keeps, wants, rate: Math.round(rate) };
   }
 
@@ -395,7 +395,7 @@
     given: Map<AccountId, Tokens>,
     last: boolean,
   ): PrepaidReport {
-    for (const [account, amount] of given) this.#holding(account).rights -= amount;
+    for (const [account, amount] of given) this.#holding(account).held -= amount;
     const { instance, incarnation } = this;
     const report = { instance, incarnation, seq: this.#nextSeq, last, entries };
     this.#nextSeq += 1;
@@ -407,14 +407,14 @@
     let holding = this.#holdings.get(account);
     if (!holding) {
       holding = {
-        rights: 0,
+        held: 0,
         reserved: 0,
         unreported: 0,
         shortfall: 0,
-        awaited: 0,
+        awaitedByRequests: 0,
         demand: NO_DEMAND,
         demandSince: Infinity,
-        toldRate: 0,
+        reportedRate: 0,
         lending: NO_LENDING,
       };
       this.#holdings.set(account, holding);
--- a/packages/core/src/runtime/prepaid/prepaidPage.ts
+++ b/packages/core/src/runtime/prepaid/prepaidPage.ts
@@ -45,7 +45,7 @@
   const { instance, incarnation, seq } = report;
   const before = page.writers[instance];
   const replaced = before !== undefined && before.incarnation !== incarnation;
-  const accounts = replaced ? doubtShares(page.accounts, instance) : { ...page.accounts };
+  const accounts = replaced ? moveSharesToInDoubt(page.accounts, instance) : { ...page.accounts };
   for (const [name, entry] of Object.entries(report.entries)) {
     accounts[name] = applyEntry(accounts[name] ?? emptyPrepaidAccount(), instance, entry);
   }
@@ -60,24 +60,24 @@
 export function dropWriter(page: PrepaidPage, instance: string): PrepaidPage {
   if (!page.writers[instance]) return page;
   return {
-    accounts: doubtShares(page.accounts, instance),
+    accounts: moveSharesToInDoubt(page.accounts, instance),
     writers: withoutKey(page.writers, instance),
   };
 }
 
 /** Tokens of an account that may be dealt to instances still. */
 export function undealtPrepaid(account: PrepaidAccount): Tokens {
-  return Math.max(0, ownPrepaid(account) - account.spent - account.inDoubt - heldPrepaid(account));
+  return Math.max(0, netGrant(account) - account.spent - account.inDoubt - heldPrepaid(account));
 }
 
 /** Tokens of the group's grant that no report has shown as spent or in doubt. */
 export function remainingPrepaid(account: PrepaidAccount | undefined): Tokens {
   if (!account) return 0;
-  return Math.max(0, ownPrepaid(account) - account.spent - account.inDoubt);
+  return Math.max(0, netGrant(account) - account.spent - account.inDoubt);
 }
 
 /** Tokens that were granted and not given back. */
-export function ownPrepaid({
+export function netGrant({
   granted,
   returned,
 }: Pick<PrepaidAccount, 'granted' | 'returned'>): Tokens {
@@ -135,7 +135,7 @@
   return { held: keeps + dealt, rate };
 }
 
-function doubtShares(
+function moveSharesToInDoubt(
   accounts: Record<AccountId, PrepaidAccount>,
   instance: string,
 ): Record<AccountId, PrepaidAccount> {
--- a/packages/core/src/runtime/prepaid/prepaidSizing.ts
+++ b/packages/core/src/runtime/prepaid/prepaidSizing.ts
@@ -1,10 +1,10 @@
 /** How much of a prepaid budget one instance holds, so that it can serve while it is cut off. */
 
 import type { Tokens } from '../../types/ids.js';
-import { DEMAND_SPAN_SECONDS } from '../demand.js';
+import { DEMAND_TIME_CONSTANT_SECONDS } from '../demand.js';
 
 /** What a level is decided from. */
-export interface PrepaidSituation {
+export interface PrepaidSizingInput {
   /** Tokens a second that this instance is asked for. */
   rate: number;
   /** Tokens a second that all instances of the group are asked for, this one included. */
@@ -36,29 +36,29 @@
    * Standard deviations of the demand of that time that are held on top. An account with a request a
    * second at an instance may ask for twice its mean; one with ten a second hardly does.
    */
-  spreadFactor: number;
+  deviationFactor: number;
   /** Part of what is dealt that goes to all instances evenly before any demand is known. */
   evenPart: number;
   /** Requests for each instance that the last tokens must cover to be dealt at all. */
-  undealtRequests: number;
+  unallocatedRequests: number;
 }
 
 export const defaultPrepaidSizing: PrepaidSizingSettings = {
   rideThroughSeconds: 9.5,
-  spreadFactor: 1.3,
+  deviationFactor: 1.3,
   evenPart: 0.05,
-  undealtRequests: 2,
+  unallocatedRequests: 2,
 };
 
 /** Part of the rest that is dealt out however soon it will be used up; alone, some requests are served still. */
-const LEAST_DEALT = 0.1;
+const MIN_ALLOCATED_FRACTION = 0.1;
 /**
  * Most of the rest that is kept for single requests. In a large fleet a group's part of a small account may
  * never cover its instances' requests, and each of them would fetch its tokens from the store.
  */
-const MOST_UNDEALT = 0.5;
+const MAX_UNALLOCATED_FRACTION = 0.5;
 /** Part of a typical request for each instance below which nothing is dealt: it would cover hardly any. */
-const LEAST_USEFUL = 0.1;
+const MIN_USEFUL_REQUESTS = 0.1;
 /**
  * Requests of an account, in the span that its rate is averaged over, that say as much about where its
  * next ones come in as an even spread does: one alone can't tell.
@@ -68,7 +68,7 @@
  * Size, as a multiple of the mean, of the request that an average token belongs to. Prompts spread so
  * widely that most tokens belong to large ones.
  */
-const SIZE_SPREAD = 2;
+const REQUEST_SIZE_FACTOR = 2;
 
 /**
  * Levels by demand, within what is left beyond the demand of the time after a loss of all.
@@ -90,14 +90,14 @@
   }
 
   /** Free tokens that an instance should hold. */
-  level(situation: PrepaidSituation): Tokens {
+  level(situation: PrepaidSizingInput): Tokens {
     const { evenPart, rideThroughSeconds } = this.#settings;
     const { fleetRate, instances, spread = instances, typicalRequest } = situation;
-    const dealt = this.#dealt(situation);
+    const dealt = this.#allocatable(situation);
     if (fleetRate <= 0) return Math.floor((dealt * evenPart) / instances);
     const fleetDemand = fleetRate * rideThroughSeconds;
-    const own = this.#withSpread(fleetDemand * this.#part(situation), 1, typicalRequest);
-    const all = this.#withSpread(fleetDemand, spread, typicalRequest);
+    const own = this.#withSafetyMargin(fleetDemand * this.#expectedFraction(situation), 1, typicalRequest);
+    const all = this.#withSafetyMargin(fleetDemand, spread, typicalRequest);
     return Math.floor(own * Math.min(1, dealt / all));
   }
 
@@ -106,31 +106,31 @@
    * account that has plenty left may deal out all that its instances can use; one that has little keeps
    * back what its callers ask for in the time after a loss.
    */
-  #dealt(situation: PrepaidSituation): Tokens {
+  #allocatable(situation: PrepaidSizingInput): Tokens {
     const { fleetRate, remaining, instances, spread = instances, typicalRequest } = situation;
     const {
       rideThroughSeconds,
       keptSeconds = rideThroughSeconds,
-      undealtRequests,
+      unallocatedRequests: undealtRequests,
     } = this.#settings;
     // dealt to all, the last tokens would be dust: no instance could cover a request, while together
     // they could cover many. Kept in the store, they are fetched for each request that comes.
     const undealt = undealtRequests * typicalRequest * spread;
-    const rest = remaining - Math.min(undealt, MOST_UNDEALT * remaining);
-    const dealt = Math.max(LEAST_DEALT * rest, rest - fleetRate * keptSeconds);
-    return dealt < LEAST_USEFUL * typicalRequest * spread ? 0 : dealt;
+    const rest = remaining - Math.min(undealt, MAX_UNALLOCATED_FRACTION * remaining);
+    const dealt = Math.max(MIN_ALLOCATED_FRACTION * rest, rest - fleetRate * keptSeconds);
+    return dealt < MIN_USEFUL_REQUESTS * typicalRequest * spread ? 0 : dealt;
   }
 
   /** Where the account's next requests come in, as far as past ones tell. */
-  #part({ rate, fleetRate, instances, typicalRequest }: PrepaidSituation): number {
+  #expectedFraction({ rate, fleetRate, instances, typicalRequest }: PrepaidSizingInput): number {
     const prior = Math.max(1, PRIOR_REQUESTS * typicalRequest);
-    const seen = fleetRate * DEMAND_SPAN_SECONDS;
-    return (rate * DEMAND_SPAN_SECONDS + prior / instances) / (seen + prior);
+    const seen = fleetRate * DEMAND_TIME_CONSTANT_SECONDS;
+    return (rate * DEMAND_TIME_CONSTANT_SECONDS + prior / instances) / (seen + prior);
   }
 
   /** A demand with its spread, were it met by so many instances in equal parts. */
-  #withSpread(demand: Tokens, instances: number, typicalRequest: Tokens): Tokens {
-    const deviation = Math.sqrt(demand * instances * SIZE_SPREAD * typicalRequest);
-    return Math.max(1, demand + this.#settings.spreadFactor * deviation);
+  #withSafetyMargin(demand: Tokens, instances: number, typicalRequest: Tokens): Tokens {
+    const deviation = Math.sqrt(demand * instances * REQUEST_SIZE_FACTOR * typicalRequest);
+    return Math.max(1, demand + this.#settings.deviationFactor * deviation);
   }
 }
--- a/packages/core/src/runtime/prepaid/spenders.ts
+++ b/packages/core/src/runtime/prepaid/spenders.ts
@@ -5,9 +5,9 @@
 import { hash32, rendezvousRank } from '../../utils/hash.js';
 
 /** Instances up to which each holds rights of its own: so few hardly get in each other's way. */
-const MOST_DIRECT = 10;
+const MAX_WITHOUT_LENDERS = 10;
 /** Spenders of a data centre; with two, the accounts of a lost one are served by the other. */
-const SPENDERS_PER_DATA_CENTRE = 2;
+const LENDERS_PER_DATA_CENTRE = 2;
 
 /**
  * The spenders of a data centre, in the order in which a lost one is followed by another. Each instance
@@ -20,8 +20,8 @@
   instances: readonly FleetInstance[],
   dataCentre: DataCentreId,
 ): FleetInstance[] {
-  if (instances.length <= MOST_DIRECT) return [...instances];
-  return rankSpenders(instances, dataCentre).slice(0, SPENDERS_PER_DATA_CENTRE);
+  if (instances.length <= MAX_WITHOUT_LENDERS) return [...instances];
+  return rankSpenders(instances, dataCentre).slice(0, LENDERS_PER_DATA_CENTRE);
 }
 
 /** All instances of a data centre that could be its spenders, the likeliest first. */
--- a/packages/core/src/runtime/slicePolicy.ts
+++ b/packages/core/src/runtime/slicePolicy.ts
@@ -1,60 +1,64 @@
 /**
- * How much of a budget a data centre and a router should hold. The policy changes who is served
- * when tokens are short or a data centre is cut off; it never changes what may be spent.
+ * Decides how many tokens of a budget a data centre and a router should hold. The policy affects who
+ * is served when tokens are short or a data centre is disconnected. It never affects how much may be
+ * spent.
  */
 
 import type { DeploymentPolicy, Importance } from '../types/declaration.js';
 import type { Tokens } from '../types/ids.js';
 
-/** What a data centre's level is decided from. */
-export interface GrantSituation {
+/** Input for the target of a data centre. */
+export interface GrantSizingInput {
   demandPerSecond: number;
   rideThroughSeconds: number;
-  /** Limit less all spend known: what the whole fleet can still use. */
+  /** Limit minus all known spend: tokens that the whole fleet can still use. */
   remaining: Tokens;
-  /** Data centres that share the budget, this one included. */
+  /** Number of data centres that share the budget, including this one. */
   dataCentres: number;
-  /** Tokens that waiting requests lack now. */
+  /** Tokens that waiting requests need beyond those available now. */
   shortfall: Tokens;
 }
 
-/** What a router's level is decided from. */
-export interface SliceSituation {
+/** Input for the target of a router. */
+export interface SliceSizingInput {
   demandPerSecond: number;
-  /** The pool and this router's own free tokens. */
+  /** Tokens in the pool plus this router's own free tokens. */
   available: Tokens;
-  /** Routers of the data centre, this one included. */
+  /** Number of routers in the data centre, including this one. */
   routers: number;
-  /** Tokens that waiting requests lack now. */
+  /** Tokens that waiting requests need beyond those available now. */
   shortfall: Tokens;
 }
 
-/** Level below which a single request would have to wait for a refill. */
-const MIN_LEVEL: Tokens = 4_096;
+/** Minimum target. With fewer tokens, a single request would have to wait for a refill. */
+const MIN_TARGET: Tokens = 4_096;
 
-/** Sizing by what the deployment weighs more. */
+/** Sizing of grants and slices; a subclass for each deployment policy sets the parameters. */
 export abstract class SlicePolicy {
-  /** Seconds of demand that a router holds. */
+  /** Demand that a router holds tokens for, in seconds. */
   protected abstract readonly sliceSeconds: number;
-  /** Part of an even share of the rest that one holder may have without need. */
-  protected abstract readonly evenPart: number;
-  /** Part of the limit kept for requests of importance `first`. */
-  protected abstract readonly firstPart: number;
+  /**
+   * Upper bound of a target as a fraction of an even share of the remaining tokens. Only a shortfall
+   * of waiting requests raises a target above it.
+   */
+  protected abstract readonly evenShareFraction: number;
+  /** Fraction of the limit that is reserved for requests of importance `first`. */
+  protected abstract readonly reservedFraction: number;
 
   /** Unspent tokens that a data centre should hold. */
-  grantTarget(situation: GrantSituation): Tokens {
-    const wanted = situation.demandPerSecond * situation.rideThroughSeconds;
-    const even = (situation.remaining * this.evenPart) / Math.max(1, situation.dataCentres);
-    const level = Math.min(Math.max(wanted, MIN_LEVEL), even);
-    return wholeTokens(Math.max(level, situation.shortfall), situation.remaining);
+  grantTarget(input: GrantSizingInput): Tokens {
+    const wanted = input.demandPerSecond * input.rideThroughSeconds;
+    const even = (input.remaining * this.evenShareFraction) / Math.max(1, input.dataCentres);
+    const target = Math.min(Math.max(wanted, MIN_TARGET), even);
+    return wholeTokens(Math.max(target, input.shortfall), input.remaining);
   }
 
   /** Free tokens that a router should hold. */
-  sliceTarget(situation: SliceSituation): Tokens {
-    const wanted = situation.demandPerSecond * this.sliceSeconds;
-    const even = (situation.available * this.evenPart) / Math.max(1, situation.routers);
-    const level = Math.min(Math.max(wanted, MIN_LEVEL), even);
-    return wholeTokens(Math.max(level, situation.shortfall), situation.available);
+  sliceTarget(input: SliceSizingInput): Tokens {
+    const wanted = input.demandPerSecond * this.sliceSeconds;
+    const even = (input.available * this.evenShareFraction) / Math.max(1, input.routers);
+    const target = Math.min(Math.max(wanted, MIN_TARGET), even);
+    return wholeTokens(Math.max(target, input.shortfall), input.available);
   }
 
   /** Remaining tokens below which a request of this importance is refused. */
@@ -63,29 +67,32 @@
       case 'first':
         return 0;
       case 'standard':
-        return Math.floor((limit * this.firstPart) / 2);
+        return Math.floor((limit * this.reservedFraction) / 2);
       case 'background':
-        return Math.floor(limit * this.firstPart);
+        return Math.floor(limit * this.reservedFraction);
     }
   }
 }
 
-/** Little in doubt at any time: small slices, and half of the rest stays in the ledger. */
+/** Keeps few tokens in doubt: small slices, and half of the remaining tokens stay in the ledger. */
 class AvoidOverspend extends SlicePolicy {
   protected override readonly sliceSeconds = 2;
-  protected override readonly evenPart = 0.5;
-  protected override readonly firstPart = 0.02;
+  protected override readonly evenShareFraction = 0.5;
+  protected override readonly reservedFraction = 0.02;
 }
 
-/** Long service when cut off: larger slices, nearly all of the rest stands near its use. */
+/**
+ * Serves longer while disconnected: larger slices, and nearly all remaining tokens are granted to the
+ * data centres that use them.
+ */
 class AvoidFalseRefusals extends SlicePolicy {
   protected override readonly sliceSeconds = 5;
-  protected override readonly evenPart = 0.9;
-  protected override readonly firstPart = 0.1;
+  protected override readonly evenShareFraction = 0.9;
+  protected override readonly reservedFraction = 0.1;
 }
 
 /**
- * Finds the sizing for a deployment's policy.
+ * Creates the sizing for a deployment's policy.
  *
  * @example
  * createSlicePolicy('avoid-false-refusals').floor('background', 1_000); // 100
@@ -99,6 +106,6 @@
   }
 }
 
-function wholeTokens(level: number, most: Tokens): Tokens {
-  return Math.max(0, Math.floor(Math.min(level, most)));
+function wholeTokens(target: number, max: Tokens): Tokens {
+  return Math.max(0, Math.floor(Math.min(target, max)));
 }
--- a/packages/core/src/runtime/spender.ts
+++ b/packages/core/src/runtime/spender.ts
@@ -1,16 +1,16 @@
 /**
- * Local state of one holder: what it may spend, what requests have set aside and which of its lines
- * the journal does not show yet. Does no I/O; the services around it carry the lines.
+ * Local state of one holder: the tokens that it may spend, the reservations of requests, and its
+ * lines that the journal does not include yet. It does no I/O; the calling services send the lines.
  */
 
 import type { AccountId, IncarnationId, Tokens, WorkClassName } from '../types/ids.js';
 import type { JournalChange, JournalLine, JournalState } from '../types/journal.js';
 import { Result } from 'true-myth';
 
-/** Lines that may wait for the journal; beyond it nothing new is accepted. */
+/** Number of unapplied lines at which a spender counts as full, so callers append no more. */
 const MAX_UNAPPLIED_LINES = 1_500;
 
-/** Tokens set aside for one request. */
+/** Tokens reserved for one request. */
 export interface SpenderReservation {
   readonly id: number;
   readonly account: AccountId;
@@ -18,42 +18,45 @@
   readonly amount: Tokens;
 }
 
-/** What the spender knows of an account's whole budget, from the ledger. */
+/** Budget of an account in the whole fleet, as last read from the ledger. */
 export interface BudgetView {
   limit: Tokens;
-  /** Spent in all data centres but this one. */
+  /** Tokens spent in all other data centres. */
   spentElsewhere: Tokens;
-  /** The same by class of work. */
+  /** `spentElsewhere` by class of work. */
   spentElsewhereByClass: Record<WorkClassName, Tokens>;
 }
 
-/** A request's wish, with the limits that apply to its class. */
+/** Reservation that a request needs, with the limits that apply to its class. */
 export interface SpenderRequest {
   account: AccountId;
   workClass: WorkClassName;
   amount: Tokens;
-  /** Part of the limit that the class may draw, from 0 to 1. */
+  /** Fraction of the limit that the class may use, from 0 to 1. */
   budgetShare: number;
-  /** Remaining tokens of the whole budget that must be left for more important classes. */
+  /** Tokens of the whole budget that must remain for more important classes. */
   floor: Tokens;
 }
 
-/** Why tokens were not set aside: now (`no-tokens`), or by the rules of class and budget. */
+/**
+ * Why a reservation was refused: `no-tokens` if this holder has too few tokens at the moment, the
+ * other values by the limits of class and budget.
+ */
 export type Shortage = 'no-tokens' | 'class-share' | 'reserved-for-first' | 'budget-spent';
 
-/** A transfer that the receiver was told of before the journal showed it. */
-interface Credit {
+/** A transfer that the sender announced and that the journal does not include yet. */
+interface TransferCredit {
   from: IncarnationId;
   seq: number;
   account: AccountId;
   amount: Tokens;
 }
 
-/** Part of the journal that the spender reads. */
+/** Parts of the journal that the spender reads. */
 export type SpenderJournal = Pick<JournalState, 'accounts' | 'holders'>;
 
 /**
- * One holder's spending.
+ * Tracks the tokens and reservations of one holder.
  *
  * @example
  * const spender = new Spender('dc-a/router-1/018f');
@@ -66,7 +69,7 @@
   #unapplied: JournalLine[] = [];
   #nextSeq = 1;
   #nextReservation = 1;
-  #credits: Credit[] = [];
+  #credits: TransferCredit[] = [];
   readonly #reservations = new Map<number, SpenderReservation>();
   readonly #budgets = new Map<AccountId, BudgetView>();
 
@@ -74,30 +77,30 @@
     this.holder = holder;
   }
 
-  /** Lines that the journal, as last seen, does not have; dense and in order. */
+  /** Lines that the last read journal does not include, in order and without gaps. */
   get unapplied(): readonly JournalLine[] {
     return this.#unapplied;
   }
 
-  /** Whether no further line may be appended until the journal has caught up. */
+  /** Whether callers must not append further lines until the journal has caught up. */
   get full(): boolean {
     return this.#unapplied.length >= MAX_UNAPPLIED_LINES;
   }
 
-  /** Sequence number of the last line that the journal showed. */
+  /** Sequence number of the last line that the last read journal includes. */
   get appliedSeq(): number {
     return this.#journal.holders[this.holder]?.seq ?? 0;
   }
 
-  /** Whether the journal, as last seen, lets this holder write. */
+  /** Whether the last read journal accepts lines of this holder. */
   get open(): boolean {
     return this.#journal.holders[this.holder]?.state === 'open';
   }
 
   /**
-   * Peers whose word that they keep a line can be trusted: those that the journal names now and
-   * will name after every unapplied line. A peer named by only one of the two might not be asked
-   * when this holder is sealed, and the line would be lost.
+   * Peers whose confirmation that they stored a line counts: those that the journal lists now and
+   * after every unapplied line. A peer missing from either list might not be asked when this holder
+   * is sealed, and the line would be lost.
    */
   get witnesses(): IncarnationId[] {
     let trusted = this.#journal.holders[this.holder]?.witnesses ?? [];
@@ -108,40 +111,40 @@
     return trusted;
   }
 
-  /** Whether a change of witnesses is still on its way into the journal. */
+  /** Whether a change of witnesses is not applied to the journal yet. */
   get changesWitnesses(): boolean {
     return this.#unapplied.some((line) => line.change.type === 'witnesses');
   }
 
-  /** Accounts of which this holder has or had tokens. */
+  /** Accounts in the last read journal. */
   get accounts(): AccountId[] {
     return Object.keys(this.#journal.accounts);
   }
 
   /**
-   * Takes in a newer journal. An older one is left aside: lines that it lacks were dropped here
-   * already, so it would show tokens that have been spent.
+   * Applies a newer journal. An older journal is ignored and `false` is returned: it does not include
+   * lines that were already removed here, so spent tokens would appear as available.
    */
   sync(journal: SpenderJournal): boolean {
     const seq = journal.holders[this.holder]?.seq ?? 0;
     if (seq < this.appliedSeq) return false;
     this.#journal = journal;
     this.#unapplied = this.#unapplied.filter((line) => line.seq > seq);
-    this.#credits = this.#credits.filter((credit) => !this.#shows(credit));
+    this.#credits = this.#credits.filter((credit) => !this.#includes(credit));
     return true;
   }
 
-  /** Takes in what the ledger says of an account. */
+  /** Stores the ledger's view of an account. */
   setBudget(account: AccountId, view: BudgetView): void {
     this.#budgets.set(account, view);
   }
 
-  /** What the ledger last said of an account. */
+  /** Returns the last stored ledger view of an account. */
   budget(account: AccountId): BudgetView | undefined {
     return this.#budgets.get(account);
   }
 
-  /** Gives a change its place in the sequence. */
+  /** Assigns the next sequence number to a change and queues it as an unapplied line. */
   append(change: JournalChange): JournalLine {
     const line: JournalLine = { holder: this.holder, seq: this.#nextSeq, change };
     this.#nextSeq += 1;
@@ -149,29 +152,29 @@
     return line;
   }
 
-  /** Counts tokens that a peer has transferred by a line that is kept; twice counts once. */
+  /** Credits tokens that a peer transferred by a stored line. A repeated call has no effect. */
   credit(from: IncarnationId, seq: number, account: AccountId, amount: Tokens): void {
     const credit = { from, seq, account, amount };
-    if (this.#shows(credit)) return;
+    if (this.#includes(credit)) return;
     if (this.#credits.some((known) => known.from === from && known.seq === seq)) return;
     this.#credits.push(credit);
   }
 
-  /** Tokens that may be set aside now. */
+  /** Tokens that can be reserved now. */
   free(account: AccountId): Tokens {
     return this.held(account) - this.#reserved(account);
   }
 
-  /** Tokens that this holder has, those set aside included. */
+  /** Tokens that this holder has, including reserved tokens. */
   held(account: AccountId): Tokens {
     const slice = this.#journal.holders[this.holder]?.slices[account] ?? 0;
     const credits = sum(this.#credits.filter((credit) => credit.account === account));
     return slice + credits - this.#unappliedDebit(account);
   }
 
-  /** Sets the worst case of a request aside. */
+  /** Reserves the maximum cost of a request. */
   reserve(request: SpenderRequest): Result<SpenderReservation, Shortage> {
-    const shortage = this.#shortage(request);
+    const shortage = this.#shortageReason(request);
     if (shortage) return Result.err(shortage);
     const { account, workClass, amount } = request;
     const reservation = { id: this.#nextReservation, account, workClass, amount };
@@ -180,35 +183,35 @@
     return Result.ok(reservation);
   }
 
-  /** Whether a reservation is still set aside. */
+  /** Whether a reservation has not been released. */
   isReserved(reservation: SpenderReservation): boolean {
     return this.#reservations.get(reservation.id) === reservation;
   }
 
-  /** Ends a reservation; a second time changes nothing. */
+  /** Releases a reservation. Returns `false` if it was released before. */
   release(reservation: SpenderReservation): boolean {
     if (!this.isReserved(reservation)) return false;
     return this.#reservations.delete(reservation.id);
   }
 
-  /** Tokens set aside by requests in progress, in all or of one account. */
+  /** Tokens reserved by requests in progress, of one account or of all accounts. */
   reservedTokens(account?: AccountId): Tokens {
     return this.#reserved(account);
   }
 
-  /** Free tokens beyond a level, to be given back. */
+  /** Free tokens above the given level, which can be returned. */
   idle(account: AccountId, level: Tokens): Tokens {
     return Math.max(0, this.free(account) - level);
   }
 
-  #shortage(request: SpenderRequest): Shortage | undefined {
+  #shortageReason(request: SpenderRequest): Shortage | undefined {
     if (request.amount === 0) return undefined;
-    const lacking = this.free(request.account) < request.amount;
+    const isShort = this.free(request.account) < request.amount;
     const budget = this.#budgets.get(request.account);
-    if (!budget) return lacking ? 'no-tokens' : undefined;
-    const remaining = budget.limit - budget.spentElsewhere - this.#drawnHere(request.account);
-    // the limit may have been raised since it was read, so tokens in hand are never refused for it.
-    if (lacking && remaining < request.amount) return 'budget-spent';
+    if (!budget) return isShort ? 'no-tokens' : undefined;
+    const remaining = budget.limit - budget.spentElsewhere - this.#drawnLocally(request.account);
+    // The limit may have been raised since it was read, so held tokens are never refused because of it.
+    if (isShort && remaining < request.amount) return 'budget-spent';
     if (request.floor > 0 && remaining - request.amount < request.floor) {
       return 'reserved-for-first';
     }
@@ -216,11 +219,11 @@
     if (request.budgetShare < 1 && drawn + request.amount > budget.limit * request.budgetShare) {
       return 'class-share';
     }
-    return lacking ? 'no-tokens' : undefined;
+    return isShort ? 'no-tokens' : undefined;
   }
 
-  /** Spent in this data centre or set aside here. */
-  #drawnHere(account: AccountId): Tokens {
+  /** Tokens spent in this data centre, or billed or reserved by this holder. */
+  #drawnLocally(account: AccountId): Tokens {
     const spent = this.#journal.accounts[account]?.spent ?? 0;
     return spent + this.#unappliedBills(account) + this.#reserved(account);
   }
@@ -251,7 +254,7 @@
     return total;
   }
 
-  /** What unapplied lines take from the slice; an unapplied `take` adds nothing yet. */
+  /** Tokens that unapplied lines remove from the slice. An unapplied `take` does not add any yet. */
   #unappliedDebit(account: AccountId): Tokens {
     let total = this.#unappliedBills(account);
     for (const { change } of this.#unapplied) {
@@ -261,8 +264,11 @@
     return total;
   }
 
-  /** Whether the journal includes a transfer; a sender that is gone from it was applied whole. */
-  #shows(credit: Credit): boolean {
+  /**
+   * Whether the journal includes a transfer. All lines of a sender that the journal no longer lists
+   * were applied.
+   */
+  #includes(credit: TransferCredit): boolean {
     const sender = this.#journal.holders[credit.from];
     return sender === undefined || sender.seq >= credit.seq;
   }
--- a/packages/core/src/runtime/witness.ts
+++ b/packages/core/src/runtime/witness.ts
@@ -1,45 +1,46 @@
 /**
- * Reducer of a witness: lines of other holders, kept in memory until the journal has them.
- * Bounded by the number of lines per holder and of holders.
+ * Reducer of a witness: lines of other holders, stored in memory until the journal includes them.
+ * The number of holders and the number of lines per holder are bounded.
  */
 
 import type { IncarnationId } from '../types/ids.js';
 import type { JournalLine, JournalState } from '../types/journal.js';
 import { Result } from 'true-myth';
 
-/** What a witness keeps for one holder. */
+/** Lines that a witness stores for one holder. */
 export interface WitnessedHolder {
+  /** Whether further lines of this holder are refused. */
   fenced: boolean;
-  /** In order. */
+  /** Sorted by sequence number. */
   lines: JournalLine[];
 }
 
-/** What a witness keeps. */
+/** All lines that a witness stores. */
 export interface WitnessState {
   holders: Record<IncarnationId, WitnessedHolder>;
 }
 
-/** Why a witness did not keep lines. */
+/** Why a witness refused to store lines. */
 export type WitnessFault = 'fenced' | 'full' | 'gap' | 'unknown-holder';
 
-/** Bounds of a witness's memory. */
+/** Limits on what a witness stores. */
 export interface WitnessLimits {
   holders: number;
   linesPerHolder: number;
 }
 
-/** About 20 MB at the usual size of a line, were every holder to fill its part. */
+/** About 20 MB at the usual line size if every holder uses its maximum. */
 export const DEFAULT_WITNESS_LIMITS: WitnessLimits = { holders: 32, linesPerHolder: 2_000 };
 
-/** Creates a witness that keeps nothing yet. */
+/** Creates a witness without any lines. */
 export function createWitness(): WitnessState {
   return { holders: {} };
 }
 
 /**
- * Keeps lines of one holder. Lines kept already count once. `journal` is the newest journal that
- * this witness has read: only a holder that is open there is accepted, so that a fence may be
- * forgotten once the journal shows the holder's end.
+ * Stores lines of one holder. Lines that are already stored are ignored. `journal` is the newest
+ * journal that this witness has read. Only lines of holders that are open there are accepted, so a
+ * fence can be removed once the journal shows that the holder has ended.
  *
  * @example
  * keepLines(witness, lines, journal).map((next) => (witness = next));
@@ -57,7 +58,7 @@
   const entry = journal.holders[holder];
   if (!entry) return Result.err('unknown-holder');
   if (entry.state !== 'open') return Result.err('fenced');
-  // lines between these and older kept ones are in the journal: a holder sends all that are not.
+  // A gap to older stored lines is fine: a holder sends all lines that the journal does not include.
   if (!isDense(lines)) return Result.err('gap');
   const merged = mergeLines(kept.lines, lines);
   if (merged.length > limits.linesPerHolder) return Result.err('full');
@@ -66,7 +67,7 @@
   return Result.ok(withHolder(state, holder, { fenced: false, lines: merged }));
 }
 
-/** Ends the keeping for a holder, for good, and gives what was kept. */
+/** Permanently refuses further lines of a holder and returns the stored ones. */
 export function fence(
   state: WitnessState,
   holder: IncarnationId,
@@ -75,11 +76,11 @@
   return { state: withHolder(state, holder, { fenced: true, lines }), lines };
 }
 
-/** Forgets lines that the journal has, and holders that have ended there. */
+/** Removes lines that the journal includes, and holders that have ended there. */
 export function dropApplied(state: WitnessState, journal: JournalState): WitnessState {
   const kept = Object.entries(state.holders).flatMap(([id, held]) => {
     const entry = journal.holders[id];
-    // a fence may come before the journal that shows the holder; it must outlast that.
+    // The fence may have arrived before a journal that lists the holder was read, so it must be kept.
     if (!entry) return held.fenced ? [[id, held] as const] : [];
     if (entry.state === 'sealed' || entry.state === 'closed') return [];
     const lines = held.lines.filter((line) => line.seq > entry.seq);
@@ -89,7 +90,7 @@
   return { holders: Object.fromEntries(kept) };
 }
 
-/** Lines of all holders, for replay into the journal. */
+/** Returns the stored lines of all holders, for replay into the journal. */
 export function keptLines(state: WitnessState): JournalLine[] {
   return Object.values(state.holders).flatMap((held) => held.lines);
 }
--- a/test/prepaid/demandSpread.test.ts
+++ b/test/prepaid/demandSpread.test.ts
@@ -1,4 +1,4 @@
-import type { PrepaidSituation } from '@flamingocourse/core';
+import type { PrepaidSizingInput } from '@flamingocourse/core';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { PrepaidSizing, demandSpread, knownDemand } from '@flamingocourse/core';
@@ -32,7 +32,7 @@
   const ALONE_SECONDS = 8;
   const REQUEST = 4_900;
   const rate = 0.36 * REQUEST;
-  const situation: PrepaidSituation = {
+  const situation: PrepaidSizingInput = {
     rate,
     fleetRate: HOMES * rate,
     remaining: 2_000_000,
--- a/test/prepaid/prepaidExperiment.test.ts
+++ b/test/prepaid/prepaidExperiment.test.ts
@@ -51,7 +51,7 @@
 
   test('without the spread more is refused while alone', () => {
     const cuts: [number, number][] = [[6, 14]];
-    const bare = run(new PrepaidSizing({ spreadFactor: 0 }), { cuts });
+    const bare = run(new PrepaidSizing({ deviationFactor: 0 }), { cuts });
     assert.ok(run(usual, { cuts }).refusedAlone < bare.refusedAlone);
   });
 });
--- a/test/prepaid/prepaidHolder.test.ts
+++ b/test/prepaid/prepaidHolder.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import {
-  DEMAND_SPAN_SECONDS,
+  DEMAND_TIME_CONSTANT_SECONDS,
   PrepaidHolder,
   PrepaidSizing,
   applyReport,
@@ -174,7 +174,7 @@
       const holder = createHolder('pass-by');
       for (let at = 0; at <= observedMs; at += 500) holder.observe('steady', 1_000, at);
       holder.observe('shop', 1_000, observedMs);
-      const expected = 1_000 / Math.min(observedMs / 1_000, DEMAND_SPAN_SECONDS);
+      const expected = 1_000 / Math.min(observedMs / 1_000, DEMAND_TIME_CONSTANT_SECONDS);
       const rate = holder.rate('shop', observedMs);
       assert.ok(rate <= 1.2 * expected, `${String(rate)} tokens a second`);
     });
--- a/test/prepaid/prepaidSizing.test.ts
+++ b/test/prepaid/prepaidSizing.test.ts
@@ -1,9 +1,9 @@
-import type { PrepaidSituation } from '@flamingocourse/core';
+import type { PrepaidSizingInput } from '@flamingocourse/core';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { PrepaidSizing } from '@flamingocourse/core';
 
-const usual: PrepaidSituation = {
+const usual: PrepaidSizingInput = {
   rate: 2_000,
   fleetRate: 14_000,
   remaining: 1_000_000,
@@ -13,9 +13,9 @@
 
 const sizing = new PrepaidSizing({
   rideThroughSeconds: 10,
-  spreadFactor: 1.3,
+  deviationFactor: 1.3,
   evenPart: 0.05,
-  undealtRequests: 2,
+  unallocatedRequests: 2,
 });
 
 // volunteers of one shop get 503 during a cut although the budget is nearly full: all their calls
