--- a/test/differential/differential.test.ts
+++ b/test/differential/differential.test.ts
@@ -8,7 +8,7 @@
 const ACCOUNT = 'k';
 const SEED = 20_261_202;
 
-/** Tokens that no trace can use up; the short budget ends within most. */
+/** Tokens that no event sequence can use up. SHORT is used up in most sequences. */
 const AMPLE = 100_000;
 const SHORT = 60;
 const TOP_UP = 20;
@@ -35,7 +35,7 @@
   return fc.record({ type: fc.constant('request' as const), router, key, dies });
 }
 
-/** Runs one trace through both and checks what must hold of the real one alone. */
+/** Runs one event sequence through both fleets and checks the invariants of the real one. */
 function compare(events: FleetEvent[], limit: number) {
   const naive = new NaiveFleet(limit);
   const real = new ReducerFleet(limit);
@@ -79,8 +79,8 @@
 }
 
 /**
- * Whether the bill is still with a holder that cannot be sealed, because its witness died: its
- * tokens stay charged, as the design says. livingHolder.test.ts shows what is wrong about it.
+ * Whether the bill is only at a holder that cannot be sealed because its witness crashed. By design,
+ * its tokens stay charged. livingHolder.test.ts shows a case in which this is wrong.
  */
 function isInDoubt(real: ReducerFleet, key: number): boolean {
   const issuer = real.ownerOf(key)?.issuer ?? '';
@@ -92,7 +92,7 @@
   fc.assert(fc.property(list, property), { seed: SEED, numRuns: 1_500 });
 }
 
-test('without faults and with an ample budget nothing differs from the naive version', () => {
+test('gives the same results as the naive version without faults and with an ample budget', () => {
   check(calm, (events) => {
     const { naive, real, outcomes } = compare(events, AMPLE);
     for (const one of outcomes) assert.equal(one.real, one.naive);
@@ -101,8 +101,9 @@
   });
 });
 
-test('whatever fails, what both serve is billed alike and nothing runs or is charged too often', (context) => {
-  // A tow is billed twice, or told 'not run' though it is in the log, when routers die, are sealed alive or cut off under retried requests.
+test('under faults, requests that both serve are billed alike and none runs or is charged too often', (context) => {
+  // Guards against a request that is billed twice, or reported as not run although it ran. It comes about
+  // when routers crash, are sealed while alive, or are disconnected while callers retry.
   const counts = {
     servedByBoth: 0,
     inDoubt: 0,
@@ -128,19 +129,19 @@
     }
   });
   context.diagnostic(JSON.stringify(counts));
-  // a trace set without answers, deaths and doubts would compare nothing.
+  // Without answered, unanswered and unknown outcomes, the sequences would compare nothing.
   assert.ok(counts.servedByBoth > 0 && counts.unknown > 0 && counts.noAnswer > 0);
 });
 
-test('whatever fails near exhaustion, the ledger adds up and is not exceeded', () => {
+test('under faults near exhaustion, the totals are consistent and the budget is not exceeded', () => {
   check(rough, (events) => {
     compare(events, SHORT);
   });
 });
 
-test('near exhaustion without faults the fleet spends at most what the naive version could', (context) => {
-  // refusals of what the naive version serves are counted, not forbidden: the two run apart once
-  // one of them has refused a request.
+test('without faults near exhaustion, both versions stay within the paid budget', (context) => {
+  // Refusals of requests that the naive version serves are counted but allowed: the two versions
+  // diverge once one of them has refused a request.
   const counts = { requests: 0, falseRefusals: 0, ofBilledKeys: 0, real: 0, naive: 0 };
   check(calm, (events) => {
     const { naive, real, outcomes, paid } = compare(events, SHORT);
--- a/test/differential/livingHolder.test.ts
+++ b/test/differential/livingHolder.test.ts
@@ -5,8 +5,9 @@
 
 const TICKET_KEY = 8;
 
-test('an answered request is billed although its router was sealed and the witness died', () => {
-  // A tow is in the log and on no invoice: the one witness of its bill died, and the living router that has it was sealed unasked.
+test('bills an answered request although its router was sealed and the witness crashed', () => {
+  // Guards against a request that ran and is on no invoice: the only witness of its bill crashed, and the
+  // router that still has the bill was sealed while alive, without being asked for its lines.
   const fleet = new ReducerFleet(1_000);
   const request = { type: 'request', dies: 'none' } as const;
   const events: FleetEvent[] = [
--- a/test/prepaid/demandSpread.test.ts
+++ b/test/prepaid/demandSpread.test.ts
@@ -3,21 +3,26 @@
 import { describe, test } from 'node:test';
 import { PrepaidSizing, demandSpread, knownDemand } from '@flamingocourse/core';
 
-describe('the spread of an account', () => {
+describe('demandSpread', () => {
   const cases = [
-    { name: 'is the whole fleet while nothing is known', rates: [], rate: 0, spread: 64 },
-    { name: 'is the whole fleet without demand', rates: [0, 0], rate: 400, spread: 64 },
-    { name: 'is one instance that has all', rates: [400, 0, 0], rate: 400, spread: 1 },
+    { name: 'is the whole fleet if no rate is known', rates: [], rate: 0, spread: 64 },
     {
-      name: 'is four that are asked equally',
+      name: 'is the whole fleet if no known instance has demand',
+      rates: [0, 0],
+      rate: 400,
+      spread: 64,
+    },
+    { name: 'is 1 if one instance has all demand', rates: [400, 0, 0], rate: 400, spread: 1 },
+    {
+      name: 'is 4 if four instances have equal demand',
       rates: [100, 100, 0, 100, 100],
       rate: 400,
       spread: 4,
     },
-    { name: 'counts what is not known like what is', rates: [100, 100], rate: 800, spread: 8 },
-    { name: 'counts a seldom asked instance less', rates: [300, 100], rate: 400, spread: 1.6 },
-    { name: 'is never more than the fleet', rates: [1, 1], rate: 4_000, spread: 64 },
-    { name: 'is not less than what is known', rates: [100, 100], rate: 100, spread: 2 },
+    { name: 'extrapolates from known to unknown demand', rates: [100, 100], rate: 800, spread: 8 },
+    { name: 'counts an instance with less demand less', rates: [300, 100], rate: 400, spread: 1.6 },
+    { name: 'is at most the size of the fleet', rates: [1, 1], rate: 4_000, spread: 64 },
+    { name: 'is at least the spread of the known demand', rates: [100, 100], rate: 100, spread: 2 },
   ];
   for (const { name, rates, rate, spread } of cases) {
     test(name, () => {
@@ -26,29 +31,37 @@
   }
 });
 
-// Callers are refused while all instances are alone: tokens were sized as if each of 195 instances had some of them.
-describe('an account whose callers stay at 28 of 195 instances, all of them alone for eight seconds', () => {
-  const HOMES = 28;
-  const ALONE_SECONDS = 8;
+// Guards against refused callers while all instances are disconnected: the tokens were sized as if the
+// callers used all 195 instances.
+describe('an account whose callers use 28 of 195 instances, all disconnected for eight seconds', () => {
+  const USED_INSTANCES = 28;
+  const OUTAGE_SECONDS = 8;
   const REQUEST = 4_900;
   const rate = 0.36 * REQUEST;
   const situation: PrepaidSizingInput = {
     rate,
-    fleetRate: HOMES * rate,
+    fleetRate: USED_INSTANCES * rate,
     remaining: 2_000_000,
     instances: 195,
-    spread: demandSpread(knownDemand(Array<number>(HOMES).fill(rate)), HOMES * rate, 195),
+    spread: demandSpread(
+      knownDemand(Array<number>(USED_INSTANCES).fill(rate)),
+      USED_INSTANCES * rate,
+      195,
+    ),
     typicalRequest: REQUEST,
   };
   const sizing = new PrepaidSizing();
 
-  test('holds what they ask for where they are', () => {
+  test('holds the demand of its callers at the instances that they use', () => {
     const level = sizing.level(situation);
-    assert.ok(level >= ALONE_SECONDS * rate, `${String(level)} of ${String(ALONE_SECONDS * rate)}`);
+    assert.ok(
+      level >= OUTAGE_SECONDS * rate,
+      `${String(level)} of ${String(OUTAGE_SECONDS * rate)}`,
+    );
   });
 
-  test('keeps what they ask for after a loss of all instances', () => {
-    const left = situation.remaining - HOMES * sizing.level(situation);
-    assert.ok(left >= ALONE_SECONDS * situation.fleetRate, `${String(left)} left`);
+  test('leaves the demand of its callers unallocated for a loss of all instances', () => {
+    const left = situation.remaining - USED_INSTANCES * sizing.level(situation);
+    assert.ok(left >= OUTAGE_SECONDS * situation.fleetRate, `${String(left)} left`);
   });
 });
--- a/test/prepaid/loanBook.test.ts
+++ b/test/prepaid/loanBook.test.ts
@@ -5,7 +5,7 @@
 
 const HELD = 10_000;
 
-/** A lender that holds so many tokens of one account. */
+/** Creates a lender that holds `HELD` tokens of one account. */
 function lender(): { holder: PrepaidHolder; book: LoanBook } {
   const sizing = new PrepaidSizing();
   const holder = new PrepaidHolder({ instance: 's', process: 's-1', sizing, aliveMs: 120_000 });
@@ -28,36 +28,36 @@
   return { instance: 'b', incarnation: 'b-1', seq, last: false, entries: { shop }, ...change };
 }
 
-describe('a lender', () => {
+describe('LoanBook', () => {
   const cases = [
     {
-      name: 'lends what is wanted',
+      name: 'lends the requested tokens',
       reports: [report(1, { wants: 3_000 })],
       expected: { held: 3_000, free: 7_000, left: HELD },
     },
     {
-      name: 'takes the same report in once',
+      name: 'applies the same report once',
       reports: [report(1, { wants: 3_000 }), report(1, { wants: 3_000 })],
       expected: { held: 3_000, free: 7_000, left: HELD },
     },
     {
-      name: 'charges what was spent and takes back what is not kept',
+      name: 'charges spent tokens and takes back returned ones',
       reports: [report(1, { wants: 3_000 }), report(2, { spent: 1_200, keeps: 800 })],
       expected: { held: 800, free: 8_000, left: 8_800 },
     },
     {
-      // the next of them would be refused although its neighbour holds what it does not need.
-      name: 'keeps half of what is free while more is wanted than it has',
+      // Otherwise the next borrower would be refused while the first one holds tokens that it does not need.
+      name: 'lends only half of the free tokens if more is requested than is free',
       reports: [report(1, { wants: 30_000 })],
       expected: { held: 5_000, free: 5_000, left: HELD },
     },
     {
-      name: 'charges what a replaced process had borrowed',
+      name: 'charges the loans of a replaced process',
       reports: [report(1, { wants: 3_000 }), report(1, { wants: 500 }, { incarnation: 'b-2' })],
       expected: { held: 500, free: 6_500, left: 7_000 },
     },
     {
-      name: 'charges what a borrower keeps that leaves',
+      name: 'charges the tokens that a leaving borrower keeps',
       reports: [report(1, { wants: 3_000 }), report(2, { keeps: 400 }, { last: true })],
       expected: { held: 0, free: 9_600, left: 9_600 },
     },
@@ -73,7 +73,7 @@
     });
   }
 
-  test('lends to a request that waits before it lends ahead', () => {
+  test('lends all free tokens to a waiting request', () => {
     const { holder, book } = lender();
     const waiting = report(1, { wants: 30_000 });
     book.take(waiting, { shop: 8_000 }, 0);
@@ -81,8 +81,8 @@
     assert.equal(holder.free('shop'), 2_000);
   });
 
-  // tokens that were fetched for one report come after the borrower has told of its holdings anew.
-  test('lends what was lacking only to the report that lacked it', () => {
+  // Tokens that were fetched for one report may arrive after the borrower has sent its next report.
+  test('lends a shortfall only to the report that had it', () => {
     const { book } = lender();
     const first = report(1, { wants: 0 });
     book.take(first, {}, 0);
@@ -94,23 +94,24 @@
   });
 });
 
-// A budget is passed: a lender believes a report of loans that it did not make, or made in another life.
-describe('a lender forgets', () => {
+// Guards against an exceeded budget: a lender accepts a report of loans that it did not make, or that it
+// made in an earlier incarnation.
+describe('LoanBook forgets', () => {
   const cases = [
     {
-      name: 'a report of a borrower that it does not know',
+      name: 'a report of an unknown borrower',
       before: [],
       next: report(4, {}),
       expected: { free: HELD, left: HELD },
     },
     {
-      name: 'a report of another process without its first',
+      name: 'a report of another process whose first report is missing',
       before: [report(1, { wants: 3_000 })],
       next: report(2, {}, { incarnation: 'b-2' }),
       expected: { free: 7_000, left: HELD },
     },
     {
-      name: 'a report of more than was lent, and charges the loans',
+      name: 'a report of more tokens than were lent, and charges the loans',
       before: [report(1, { wants: 3_000 })],
       next: report(2, { spent: 2_000, keeps: 1_500 }),
       expected: { free: 7_000, left: 7_000 },
@@ -131,7 +132,7 @@
     });
   }
 
-  test('all loans when its own rights are lost', () => {
+  test('all loans after its own tokens were lost', () => {
     const { holder, book } = lender();
     book.take(report(1, { wants: 3_000 }), {}, 0);
     const { life } = book;
@@ -141,7 +142,7 @@
     assert.equal(book.take(report(2, { keeps: 3_000 }), {}, 1), 'forgotten');
   });
 
-  test('a borrower that was silent for long, and charges its loans', () => {
+  test('a borrower that has not reported for long, and charges its loans', () => {
     const { holder, book } = lender();
     book.take(report(1, { wants: 3_000 }), {}, 0);
     assert.deepEqual(book.dropSilent(1_000, 999), []);
--- a/test/prepaid/prepaidBudgets.test.ts
+++ b/test/prepaid/prepaidBudgets.test.ts
@@ -32,7 +32,7 @@
   return { writers: { a: { incarnation: 'a-1', seq: 1 } }, accounts: { shop: account } };
 }
 
-/** The grants that a page of the first group has taken in. */
+/** Returns the grants that a page of group 0 includes. */
 function grantsOf({ accounts }: PrepaidPage): PrepaidBudgets['grants'] {
   const grants = Object.entries(accounts).map(([name, { granted, returned }]) => {
     return [name, { '0': { granted, returned, gone: 0 } }];
@@ -44,19 +44,20 @@
   return grantPrepaid(budgets, group, createPrepaidPage(), new Map([['shop', lacks]]), limits);
 }
 
-test('instances fill one group after the other, and each stays in its own', () => {
+test('joinGroup fills one group after the other and keeps members in their group', () => {
   const budgets = budgetsOf('a', 'b', 'c');
   assert.deepEqual(budgets.members, { a: '0', b: '0', c: '1' });
   assert.equal(joinGroup(budgets, 'a', 1), budgets);
 });
 
-// Callers are refused although plenty is left: groups that ask for one account at a time lose their asks to each other.
-describe('a group that asks for an account', () => {
+// Guards against refused callers although many tokens are left: groups that ask for one account at a time
+// cause update conflicts for each other.
+describe('wantedGrants', () => {
   const both = new Map([
     ['shop', 1_000],
     ['depot', 1_000],
   ]);
-  // two groups: a fair grant of an untouched limit is a quarter of it.
+  // Two groups: a fair grant of an unused limit is a quarter of it.
   const budgets = budgetsOf('a', 'b', 'c');
   const pageOf = (granted: number, spent = 0): PrepaidPage => {
     const { accounts, writers } = pageWith({ granted, spent });
@@ -69,7 +70,7 @@
     wanted: [string, number][];
   }[] = [
     {
-      name: 'takes along one that it has nothing of',
+      name: 'adds an account without tokens in the group',
       page: createPrepaidPage(),
       lacks: 10,
       wanted: [
@@ -78,7 +79,7 @@
       ],
     },
     {
-      name: 'takes along one that runs low',
+      name: 'adds an account that runs low',
       page: pageOf(250, 170),
       lacks: 10,
       wanted: [
@@ -86,9 +87,14 @@
         ['depot', 0],
       ],
     },
-    { name: 'leaves one that has enough', page: pageOf(250), lacks: 10, wanted: [['shop', 10]] },
     {
-      name: 'asks for nothing when it lacks nothing',
+      name: 'omits an account with enough tokens',
+      page: pageOf(250),
+      lacks: 10,
+      wanted: [['shop', 10]],
+    },
+    {
+      name: 'is empty without a shortfall',
       page: createPrepaidPage(),
       lacks: 0,
       wanted: [],
@@ -102,22 +108,22 @@
     });
   }
 
-  test('counts a grant that its page has not taken in yet', () => {
+  test('counts a grant that the page does not include yet', () => {
     const granted = grant(budgets, '0', 300);
     const lacking = new Map([['shop', 200]]);
     assert.deepEqual([...wantedGrants(granted, '0', createPrepaidPage(), lacking, limits)], []);
   });
 
-  test('gets a fair part of what it takes along', () => {
+  test('leads to a fair grant of added accounts', () => {
     const wanted = wantedGrants(budgets, '0', createPrepaidPage(), new Map([['shop', 10]]), both);
     const { grants } = grantPrepaid(budgets, '0', createPrepaidPage(), wanted, both);
     assert.equal(grants.depot?.['0']?.granted, 250);
   });
 });
 
-// instances are replaced under new names each day: without an end of their membership the object that all
-// read grows for ever, and each instance's part of the retries shrinks.
-test('instances that leave free their places', () => {
+// Guards against a shared object that grows without bound, and a shrinking part of the retries for each
+// instance: instances are replaced under new names each day and their membership never ends.
+test('leaveGroup frees the places of instances', () => {
   const budgets = leaveGroup(budgetsOf('a', 'b', 'c'), ['a', 'unknown']);
   assert.deepEqual(budgets.members, { b: '0', c: '1' });
   assert.equal(joinGroup(budgets, 'd', 2).members.d, '0');
@@ -125,7 +131,7 @@
   assert.deepEqual(membersOf(budgets, '1'), ['c']);
 });
 
-describe('the group after', () => {
+describe('nextGroup of', () => {
   const budgets = leaveGroup(budgetsOf('a', 'b', 'c', 'd', 'e'), ['c', 'd']);
   const cases = [
     { group: '0', next: '2' },
@@ -137,22 +143,22 @@
       assert.equal(nextGroup(budgets, group), next);
     });
   }
-  test('the only one is itself', () => {
+  test('the only group is the group itself', () => {
     assert.equal(nextGroup(budgetsOf('a'), '0'), '0');
   });
 });
 
-describe('grants', () => {
+describe('grantPrepaid', () => {
   const cases = [
-    { name: 'give one group half of the rest', members: ['a'], lacks: 10, granted: 500 },
+    { name: 'grants a single group half of the rest', members: ['a'], lacks: 10, granted: 500 },
     {
-      name: 'give each of two groups a quarter',
+      name: 'grants each of two groups a quarter',
       members: ['a', 'b', 'c'],
       lacks: 10,
       granted: 250,
     },
-    { name: 'cover what is lacking where that is more', members: ['a'], lacks: 800, granted: 800 },
-    { name: 'never pass the limit', members: ['a'], lacks: 5_000, granted: 1_000 },
+    { name: 'grants the shortfall if that is more', members: ['a'], lacks: 800, granted: 800 },
+    { name: 'never exceeds the limit', members: ['a'], lacks: 5_000, granted: 1_000 },
   ];
   for (const { name, members, lacks, granted } of cases) {
     test(name, () => {
@@ -162,13 +168,13 @@
     });
   }
 
-  test('of an account without a limit in force give nothing', () => {
+  test('grants nothing of an account without a current limit', () => {
     const lacking = new Map([['gone', 100]]);
     const budgets = grantPrepaid(budgetsOf('a'), '0', createPrepaidPage(), lacking, limits);
     assert.equal(budgets.grants.gone, undefined);
   });
 
-  test('reach the page once, and an outdated copy takes none back', () => {
+  test('is applied to the page once, and outdated budgets do not reduce the grant', () => {
     const first = grant(budgetsOf('a'), '0', 100);
     const second = grant(first, '0', 100);
     const page = takeGrants(takeGrants(createPrepaidPage(), second, '0'), first, '0');
@@ -177,15 +183,16 @@
   });
 });
 
-// a top-up of the day before is gone: a lower limit must not be passed, and a higher one is granted.
-test('a limit that changes changes what is left to grant', () => {
+// Limits change in both directions, for example when the top-up of the previous day is removed: a lower
+// limit must not be exceeded, and a higher one must be granted.
+test('ungrantedPrepaid follows a changed limit', () => {
   const budgets = grant(budgetsOf('a'), '0', 800);
   assert.equal(ungrantedPrepaid(budgets, 'shop', 500), 0);
   assert.equal(ungrantedPrepaid(budgets, 'shop', 1_500), 700);
 });
 
-// a volunteer gets 402, for good, while another group still holds tokens that it will give up soon.
-test('what is left anywhere counts only what the groups told as gone', () => {
+// Guards against a final refusal (402) while another group still holds tokens that it will return soon.
+test('leftPrepaid subtracts only tokens that groups reported as spent or in doubt', () => {
   const granted = grant(budgetsOf('a', 'b', 'c'), '0', 400);
   const spent = pageWith({ granted: 400, spent: 300, inDoubt: 50 });
   const told = grantPrepaid(granted, '0', spent, new Map([['shop', 10]]), limits);
@@ -193,17 +200,17 @@
   assert.equal(leftPrepaid(granted, 'shop', 1_000), 1_000);
 });
 
-test('a group sizes by its even part of the limit and of the rest', () => {
+test('prepaidOutlook divides the limit and the ungranted tokens by the number of groups', () => {
   const outlook = prepaidOutlook(grant(budgetsOf('a', 'b', 'c'), '0', 400), limits);
   assert.deepEqual(outlook.get('shop'), { limitPart: 500, beyond: 300, groups: 2 });
 });
 
-// callers of a shop are refused with 503 while two fifths of its budget lie idle: the first instances
-// that started were granted half of all before the others had joined, and had no way to give it back.
-describe('a surplus', () => {
+// Guards against callers refused with 503 while two fifths of their budget are unused: the first instances
+// to start were granted half of it before the others had joined, and could not return any.
+describe('returnSurplus', () => {
   const outlook = new Map([['shop', { limitPart: 500, beyond: 0, groups: 2 }]]);
 
-  test('goes back, and another group is granted it', () => {
+  test('returns tokens that another group can then be granted', () => {
     const granted = grant(budgetsOf('a', 'b', 'c'), '0', 1_000);
     const kept = returnSurplus(pageWith({ granted: 1_000, spent: 200 }), outlook);
     assert.equal(kept.accounts.shop?.returned, 600);
@@ -214,19 +221,19 @@
     assert.equal(grant(taken, '1', 300).grants.shop?.['1']?.granted, 300);
   });
 
-  // all instances of a group were removed: what it was granted would lie idle for good.
-  test('is all that a group without instances has not dealt', () => {
+  // Guards against tokens that stay unused for ever after all instances of a group were removed.
+  test('returns all unallocated tokens of a group without instances', () => {
     const page = { ...pageWith({ granted: 1_000, spent: 200, inDoubt: 50 }), writers: {} };
     assert.equal(returnSurplus(page, new Map()).accounts.shop?.returned, 750);
   });
 
   const kept = [
-    { name: 'of a group that is alone', change: { groups: 1 } },
-    { name: 'while enough is left for the others', change: { beyond: 600 } },
-    { name: 'that is hardly worth a call', change: { limitPart: 50_000 } },
+    { name: 'if there is only one group', change: { groups: 1 } },
+    { name: 'if enough is left for the other groups', change: { beyond: 600 } },
+    { name: 'if the surplus is too small for a call', change: { limitPart: 50_000 } },
   ];
   for (const { name, change } of kept) {
-    test(`${name} is kept`, () => {
+    test(`returns nothing ${name}`, () => {
       const shop = { limitPart: 500, beyond: 0, groups: 2, ...change };
       const page = pageWith({ granted: 1_000, spent: 200 });
       assert.deepEqual(returnSurplus(page, new Map([['shop', shop]])), page);
--- a/test/prepaid/prepaidExperiment.test.ts
+++ b/test/prepaid/prepaidExperiment.test.ts
@@ -22,34 +22,36 @@
 
 const usual = new PrepaidSizing();
 
-// the third customer's day: reports of some 9,000 tokens and notes of 1,100 at seven instances, a few accounts
-// large and some at one instance only, limits 1.3 times what is asked for.
-describe('budgets of a day', () => {
-  test('without a fault nothing is refused that fits', () => {
+// Load modelled on a day of the third customer: reports of about 9,000 tokens and notes of 1,100 at seven
+// instances, a few large accounts, some accounts at one instance only, limits of 1.3 times the demand.
+describe('the budgets of a day', () => {
+  test('are refused to less than 1 % of the demand without faults', () => {
     const { asked, refusedConnected } = run(usual, {});
     assert.ok(refusedConnected < 0.01 * asked, `${String(refusedConnected)} of ${String(asked)}`);
   });
 
-  // Callers are refused for the rest of a day whose last quarter began with a loss of all: half of what was left is in doubt.
-  test('after a loss of all instances late in the day 98 in 100 are served', () => {
+  // Guards against callers refused for the rest of the day: all instances were killed at the start of its
+  // last quarter, and half of the remaining tokens are in doubt.
+  test('serve 98 % of the demand after a loss of all instances late in the day', () => {
     const { asked, refusedConnected } = run(usual, { killsAt: [41] });
     assert.ok(refusedConnected < 0.02 * asked, `${String(refusedConnected)} of ${String(asked)}`);
   });
 
-  // a cut of eight seconds soon after the start: nobody knows yet where the callers come in.
+  // In the early outage, which starts 6 s after the start, no instance knows yet which instances the
+  // callers use.
   const cases = [
     { name: 'early', cut: [6, 14] },
     { name: 'later', cut: [23, 31] },
   ] as const;
   for (const { name, cut } of cases) {
-    test(`while all are alone for eight seconds, ${name}, most is served`, () => {
+    test(`serve most of the demand while all instances are disconnected for eight seconds, ${name}`, () => {
       const { asked, refusedAlone } = run(usual, { cuts: [[cut[0], cut[1]]] });
       const inCut = ((cut[1] - cut[0]) / 55) * asked;
       assert.ok(refusedAlone < 0.3 * inCut, `${String(refusedAlone)} of ${String(inCut)}`);
     });
   }
 
-  test('without the spread more is refused while alone', () => {
+  test('refuse more while disconnected without the safety margin', () => {
     const cuts: [number, number][] = [[6, 14]];
     const bare = run(new PrepaidSizing({ deviationFactor: 0 }), { cuts });
     assert.ok(run(usual, { cuts }).refusedAlone < bare.refusedAlone);
--- a/test/prepaid/prepaidHolder.test.ts
+++ b/test/prepaid/prepaidHolder.test.ts
@@ -25,7 +25,7 @@
   return { ...createPrepaidPage(), accounts: { shop } };
 }
 
-/** A holder and its page after a first exchange in which it got tokens for a request of 1,000. */
+/** Returns a holder and its page after a first exchange that fetched tokens for a request of 1,000. */
 function start(): { holder: PrepaidHolder; page: PrepaidPage } {
   const holder = createHolder();
   holder.observe('shop', 1_000, 0);
@@ -57,10 +57,10 @@
   return report;
 }
 
-// an instance that was cut off for long comes back: the group has charged what it held, and it would
-// spend it all the same, or count it twice.
-describe('a holder whose page has forgotten it', () => {
-  test('starts anew without tokens, under another name', () => {
+// Guards against tokens that are spent or counted twice: an instance that was disconnected for long comes
+// back after its group has charged the tokens that it held.
+describe('a holder that its page no longer lists', () => {
+  test('continues without tokens as a new incarnation', () => {
     const { holder, page } = start();
     const { incarnation } = holder;
     assert.equal(holder.isForgotten(page), false);
@@ -71,7 +71,7 @@
     assert.equal(holder.unreported('shop'), 0);
   });
 
-  test('gets nothing from requests that were begun before', () => {
+  test('gets no tokens back from requests that started before', () => {
     const { holder, page } = start();
     const running = holder.reserve('shop', 1_000);
     assert.ok(running, 'the request fits');
@@ -84,23 +84,23 @@
     assert.equal(holder.unreported('shop'), 0);
   });
 
-  test('is not meant before the first report was taken in', () => {
+  test('is not detected before the first report was applied', () => {
     const holder = createHolder();
     assert.equal(holder.isForgotten(grantedPage()), false);
   });
 });
 
-// a forester is refused for want of tokens that were fetched for her a millisecond ago: two exchanges follow
-// each other while her request waits, and the second gives back what lies beyond the level.
+// Guards against a refused request whose tokens were fetched a millisecond before: two exchanges take place
+// while it waits, and the second returns all tokens above the target.
 describe('tokens that a request waits for', () => {
   const cases = [
     { name: 'are kept while it waits', waits: true },
-    { name: 'go back to the level once it has left', waits: false },
+    { name: 'are returned down to the target after it has left', waits: false },
   ];
   for (const { name, waits } of cases) {
     test(name, () => {
       const { holder, page } = start();
-      // so many that hardly any of the rest is dealt out beforehand.
+      // So much demand that hardly any of the remaining tokens are allocated in advance.
       for (let n = 0; n < 30; n += 1) holder.observe('shop', 1_000, 15);
       holder.reserve('shop', 8_000);
       holder.beginWait('shop', 8_000);
@@ -113,7 +113,7 @@
     });
   }
 
-  test('are fetched for all that wait', () => {
+  test('are fetched for all waiting requests', () => {
     const { holder, page } = start();
     for (const amount of [6_000, 7_000]) {
       holder.reserve('shop', amount);
@@ -124,9 +124,9 @@
     assert.ok(holder.reserve('shop', 7_000));
   });
 
-  // a volunteer is refused although plenty is left: the instance lacked four tokens, and a report did not ask
-  // for so few.
-  test('are fetched also when only a few are lacking', () => {
+  // Guards against a refused request although many tokens are left: the instance was four tokens short, and
+  // the report did not request so few.
+  test('are fetched even if only a few are missing', () => {
     const { holder, page } = start();
     const amount = Math.ceil(1.05 * holder.free('shop'));
     assert.equal(holder.reserve('shop', amount), undefined);
@@ -136,10 +136,10 @@
   });
 });
 
-// an idle instance would be taken for lost, and its tokens charged.
-test('a holder without news reports now and then all the same', () => {
+// Guards against an idle instance that counts as failed and whose tokens are charged.
+test('a holder reports at least every aliveMs without changes', () => {
   const { holder, page } = start();
-  // its demand fades within minutes, which is news.
+  // The decay of its demand causes reports during the first minutes.
   const reportedAt: number[] = [];
   let seen = page;
   for (let now = 1_000; now <= 1_200_000; now += 1_000) {
@@ -153,8 +153,8 @@
   assert.equal(last - before, ALIVE_MS);
 });
 
-// a machine is emptied: what it held would be charged in doubt, or lie idle.
-test('a last report is due without news, and gives all back', () => {
+// Guards against tokens of a drained machine that are charged as in doubt or stay unused.
+test('a last report is built without changes, and returns all tokens', () => {
   const { holder, page } = start();
   const left = exchange(holder, page, 20, true);
   assert.equal(holder.free('shop'), 0);
@@ -163,11 +163,12 @@
   assert.equal(left.accounts.shop.inDoubt, 0);
 });
 
-// Half of what a fleet lends lies where a refused caller came by once: its one request was taken for a steady stream.
-describe('the demand of an account that came by once', () => {
+// Guards against half of the lent tokens being at instances that a refused caller used only once: its one
+// request was extrapolated to a steady demand.
+describe("the demand after an account's only request, with 'pass-by'", () => {
   const cases = [
-    { name: 'is that of one request in the time that was observed', observedMs: 20_000 },
-    { name: 'is not known better after two seconds', observedMs: 2_000 },
+    { name: 'is one request per time constant after a long observation', observedMs: 20_000 },
+    { name: 'is one request per observed time after two seconds', observedMs: 2_000 },
   ];
   for (const { name, observedMs } of cases) {
     test(name, () => {
@@ -181,8 +182,9 @@
   }
 });
 
-// A volunteer's second request is refused in a cut: her shop's first one here was taken for the only one in a long time.
-test('the demand of an account whose callers stay is reckoned from its first request', () => {
+// Guards against a refused second request during an outage: the account's first request here was averaged
+// over a long time before it.
+test("the demand with 'stay' is averaged from the account's first request", () => {
   const holder = createHolder('stay');
   for (let at = 0; at <= 20_000; at += 500) holder.observe('steady', 1_000, at);
   for (const at of [20_000, 21_000, 22_000]) holder.observe('shop', 1_000, at);
--- a/test/prepaid/prepaidPage.test.ts
+++ b/test/prepaid/prepaidPage.test.ts
@@ -28,31 +28,31 @@
   return reports.reduce(applyReport, grantedPage(1_000));
 }
 
-/** A page whose group was granted so much. */
+/** Returns a page whose group was granted the given tokens. */
 function grantedPage(granted: number): PrepaidPage {
   const account = { granted, returned: 0, spent: 0, inDoubt: 0, shares: {} };
   return { ...createPrepaidPage(), accounts: { shop: account } };
 }
 
-describe('a page after reports', () => {
+describe('applyReport', () => {
   const cases = [
     {
-      name: 'deals what is wanted',
+      name: 'allocates the requested tokens',
       reports: [report('a', 1, { wants: 400 })],
       expected: { held: 400, spent: 0, inDoubt: 0, undealt: 600, remaining: 1_000 },
     },
     {
-      name: 'deals no more than the grant leaves',
+      name: 'allocates no more than the grant allows',
       reports: [report('a', 1, { wants: 700 }), report('b', 1, { wants: 700 })],
       expected: { held: 1_000, spent: 0, inDoubt: 0, undealt: 0, remaining: 1_000 },
     },
     {
-      name: 'moves spend from what was held',
+      name: 'moves spent tokens from held to spent',
       reports: [report('a', 1, { wants: 400 }), report('a', 2, { spent: 150, keeps: 250 })],
       expected: { held: 250, spent: 150, inDoubt: 0, undealt: 600, remaining: 850 },
     },
     {
-      name: 'takes the same report in once',
+      name: 'applies the same report once',
       reports: [
         report('a', 1, { wants: 400 }),
         report('a', 2, { spent: 150, keeps: 250 }),
@@ -61,9 +61,9 @@
       expected: { held: 250, spent: 150, inDoubt: 0, undealt: 600, remaining: 850 },
     },
     {
-      // a process is killed between two reports. What it held may have been spent, so its successor
-      // on the same instance must not get it again, nor anybody else.
-      name: 'keeps what a killed process held charged',
+      // The process was killed between two reports and may have spent its tokens, so neither its successor
+      // nor another instance may get them.
+      name: 'charges the tokens of a killed process',
       reports: [report('a', 1, { wants: 400 }), report('a', 1, { wants: 100 }, 'a-2')],
       expected: { held: 100, spent: 0, inDoubt: 400, undealt: 500, remaining: 600 },
     },
@@ -86,8 +86,8 @@
   }
 });
 
-// pages of many accounts are long, and each exchange carries them both ways over slow links.
-test('a share of nothing is not kept', () => {
+// Guards against large pages: each exchange transfers them in both directions over slow links.
+test('an empty share is removed', () => {
   const idle = report('a', 2, { spent: 400 });
   const entry = { spent: 400, keeps: 0, wants: 0, rate: 0 };
   const page = pageOf(report('a', 1, { wants: 400 }), { ...idle, entries: { shop: entry } });
@@ -95,24 +95,25 @@
   assert.equal(page.accounts.shop.spent, 400);
 });
 
-test('a report is known by process and number', () => {
+test('hasReport compares incarnation and sequence number', () => {
   const page = pageOf(report('a', 1, { wants: 1 }), report('a', 3, {}));
   assert.equal(hasReport(page, report('a', 3, {})), true);
   assert.equal(hasReport(page, report('a', 4, {})), false);
   assert.equal(hasReport(page, report('a', 3, {}, 'a-2')), false);
 });
 
-// a shop is refused although its budget is nearly full: its group asked for less than it lacked.
-test('what a report lacks is what the page can not deal of it', () => {
+// Guards against refused requests although most of the budget is left: the group asked for less than its
+// shortfall.
+test('lackingPrepaid returns the requested tokens that the page cannot allocate', () => {
   const page = pageOf(report('a', 1, { wants: 900 }));
   const lacking = lackingPrepaid(page, report('b', 1, { wants: 500 }));
   assert.deepEqual([...lacking], [['shop', 400]]);
   assert.equal(lackingPrepaid(page, report('b', 1, { wants: 100 })).size, 0);
 });
 
-// each planned replacement leaves a name behind: the page grows for ever, and the parts of the others,
-// which are sized by its writers, shrink.
-test('a last report gives all back and is the end of its writer', () => {
+// Guards against writers that remain after each planned replacement: the page grows without bound, and the
+// shares of the others shrink because they depend on the number of writers.
+test('a last report returns all tokens and removes the writer', () => {
   const left = { ...report('a', 2, { spent: 150 }), last: true };
   const page = pageOf(report('a', 1, { wants: 400 }), report('b', 1, {}), left);
   assert.deepEqual(Object.keys(page.writers), ['b']);
@@ -121,8 +122,8 @@
   assert.equal(applyReport(page, left), page, 'sent again it changes nothing');
 });
 
-// a removed instance holds its tokens for ever; an instance that comes back after an hour reports them
-// although they are charged in doubt, and its spend is counted twice.
+// Guards against a removed instance that holds its tokens for ever, and against spending that is counted
+// twice: an instance that comes back after an hour reports tokens that are already charged as in doubt.
 describe('a writer that was dropped', () => {
   const before = pageOf(report('a', 1, { wants: 400 }), report('b', 1, { wants: 100 }));
   const page = dropWriter(before, 'a');
@@ -137,8 +138,16 @@
 
   const cases = [
     { name: 'is fenced when it reports again', next: report('a', 2, { spent: 300 }), fenced: true },
-    { name: 'may start anew', next: report('a', 1, { wants: 10 }, 'a-2'), fenced: false },
-    { name: 'does not fence others', next: report('b', 2, { spent: 10 }), fenced: false },
+    {
+      name: 'may report as a new incarnation',
+      next: report('a', 1, { wants: 10 }, 'a-2'),
+      fenced: false,
+    },
+    {
+      name: 'does not cause others to be fenced',
+      next: report('b', 2, { spent: 10 }),
+      fenced: false,
+    },
   ];
   for (const { name, next, fenced } of cases) {
     test(name, () => {
@@ -148,7 +157,7 @@
   }
 });
 
-// two processes under one name: the older one must not take the younger one's place again.
+// Two processes use the same instance name: the older one must not replace the newer one.
 test('a process whose successor has reported is fenced', () => {
   const page = pageOf(report('a', 1, { wants: 400 }), report('a', 1, { wants: 100 }, 'a-2'));
   assert.equal(isFenced(page, report('a', 2, { spent: 50, keeps: 350 })), true);
--- a/test/prepaid/prepaidSizing.test.ts
+++ b/test/prepaid/prepaidSizing.test.ts
@@ -18,32 +18,38 @@
   unallocatedRequests: 2,
 });
 
-// volunteers of one shop get 503 during a cut although the budget is nearly full: all their calls
-// come in at one instance, and the tokens were dealt evenly to all seven.
-describe('the level of an instance', () => {
+// Guards against callers refused with 503 during an outage although most of the budget is left: all their
+// calls arrive at one instance, and the tokens were allocated evenly to all seven.
+describe('PrepaidSizing.level', () => {
   const cases = [
-    { name: 'covers the ride-through of an even account', change: {}, from: 35_000, to: 45_000 },
     {
-      name: 'follows an account that comes in at this instance alone',
+      name: 'covers the ride-through time of an evenly used account',
+      change: {},
+      from: 35_000,
+      to: 45_000,
+    },
+    {
+      name: 'is larger if only this instance has demand',
       change: { rate: 14_000 },
       from: 150_000,
       to: 190_000,
     },
     {
-      name: 'leaves little where the account never comes in',
+      name: 'is small at an instance without demand',
       change: { rate: 0 },
       from: 1_000,
       to: 25_000,
     },
     {
-      name: 'is an even part while nothing is known',
+      name: 'is an even part if no demand is known',
       change: { rate: 0, fleetRate: 0 },
       from: 1,
       to: 10_000,
     },
     {
-      // the last tokens lie as dust at seven instances, and each refuses what all could cover.
-      name: 'is nothing once the rest would be dust',
+      // Guards against the last tokens being split over seven instances, each of which refuses requests that
+      // all together could cover.
+      name: 'is 0 if the remaining tokens cannot cover typical requests at all instances',
       change: { remaining: 40_000 },
       from: 0,
       to: 0,
@@ -57,9 +63,9 @@
   }
 });
 
-// a shop with one call a second is refused in a cut: it was given the mean of its demand, and met
-// two digests of many pages.
-test('a small account holds more of its mean than a large one', () => {
+// Guards against a small account refused during an outage: an account with one call per second was
+// allocated its mean demand, and had two large requests.
+test('a small account gets a larger multiple of its mean demand than a large one', () => {
   const ofMean = (rate: number): number => {
     const level = sizing.level({ ...usual, remaining: 1e9, rate, fleetRate: rate * 7 });
     return level / (rate * 10);
@@ -68,9 +74,9 @@
   assert.ok(ofMean(40_000) < 1.3, `large: ${String(ofMean(40_000))}`);
 });
 
-// families are refused for the rest of the day: all instances were killed twice, and each time half of
-// what was left of the budget went in doubt.
-test('a second loss of all instances leaves enough', () => {
+// Guards against callers refused for the rest of the day: all instances were killed twice, and each time
+// half of the remaining budget was in doubt.
+test('two losses of all instances leave more than 35 % of the budget', () => {
   const heldByAll = (remaining: number): number =>
     7 * sizing.level({ ...usual, fleetRate: 200_000, rate: 200_000 / 7, remaining });
   const first = heldByAll(1_000_000);
@@ -78,9 +84,9 @@
   assert.ok(1_000_000 - first - second > 350_000, `lost ${String(first)} and ${String(second)}`);
 });
 
-// foresters are refused for the rest of the day: all instances lost power when the budget would have
-// lasted for another half minute, and half of it went in doubt with them.
-describe('a loss of all instances leaves the demand of the ride-through', () => {
+// Guards against callers refused for the rest of the day: all instances lost power when the budget would
+// have lasted for another half minute, and half of it was in doubt.
+describe('a loss of all instances leaves the demand of the ride-through time', () => {
   const rates = [14_000, 9_000, 2_000, 500, 0, 0, 0];
   const fleetRate = rates.reduce((sum, rate) => sum + rate, 0);
   for (const seconds of [20, 30, 60]) {
@@ -93,13 +99,14 @@
   }
 });
 
-test('an account with plenty left deals out what its instances can use', () => {
+test('an account with many remaining tokens allocates all that its instances can use', () => {
   const level = sizing.level({ ...usual, remaining: 5_000_000 });
   assert.ok(level >= 10 * usual.rate, `level ${String(level)}`);
 });
 
-// After a loss of all instances too little is left: what borrowers had spent and not told yet was dealt out once more.
-test('what is kept back of an account may be more than its instances ride through', () => {
+// Guards against too few tokens after a loss of all instances: tokens that borrowers had spent and not yet
+// reported were allocated a second time.
+test('keptSeconds can keep more unallocated than rideThroughSeconds', () => {
   const keptSeconds = 15;
   const keeping = new PrepaidSizing({ rideThroughSeconds: 10, keptSeconds });
   const situation = { ...usual, remaining: 300_000 };
--- a/test/prepaid/prepaidWorld.test.ts
+++ b/test/prepaid/prepaidWorld.test.ts
@@ -26,42 +26,45 @@
 const ACCOUNT = 'shop';
 const OPENING_LIMIT = 20_000;
 const INSTANCES = ['a', 'b', 'c'];
-/** The first two instances share a page, the third has one of its own. */
+/** The first two instances share a page; the third has its own page. */
 const GROUP_SIZE = 2;
 const RUNS = 400;
 const SEED = 20_261_203;
-/** Long enough that a budget is used up; by itself the library plays some ten steps. */
+/** Long enough to use up a budget. By default, the library generates about ten steps. */
 const LENGTH = { minLength: 40, maxLength: 120, size: 'max' } as const;
 
-/** What becomes of a write: done and told, done, not done, or done later if its condition holds. */
-type Fate = 'comes' | 'lost' | 'not-done' | 'late';
+/**
+ * Result of a write: applied and confirmed, applied with a lost reply, not applied, or applied later if
+ * its condition still holds.
+ */
+type WriteResult = 'confirmed' | 'lost' | 'not-done' | 'late';
 
 type Step =
   | { type: 'reserve'; instance: number; amount: number }
   | { type: 'settle'; instance: number; part: number }
   | { type: 'serve'; instance: number; amount: number; part: number }
-  | { type: 'look'; instance: number }
-  | { type: 'grant'; instance: number; lacks: number; reply: Fate }
-  | { type: 'report'; instance: number; reply: Fate }
+  | { type: 'read'; instance: number }
+  | { type: 'grant'; instance: number; shortfall: number; reply: WriteResult }
+  | { type: 'report'; instance: number; reply: WriteResult }
   | { type: 'late-write' }
   | { type: 'kill'; instance: number }
-  | { type: 'stop'; instance: number; reply: Fate }
-  | { type: 'drop'; instance: number; reply: Fate }
+  | { type: 'stop'; instance: number; reply: WriteResult }
+  | { type: 'drop'; instance: number; reply: WriteResult }
   | { type: 'top-up'; amount: number };
 
-/** One object under conditional update, with writes that are still on their way. */
+/** One stored object under conditional update, with writes that are still in flight. */
 class Stored<T> {
   version = 1;
   readonly #late: { version: number; next: T }[] = [];
 
   constructor(public value: T) {}
 
-  write(version: number, next: T, fate: Fate): boolean {
-    if (fate === 'late') this.#late.push({ version, next });
-    if (fate === 'late' || fate === 'not-done' || version !== this.version) return false;
+  write(version: number, next: T, result: WriteResult): boolean {
+    if (result === 'late') this.#late.push({ version, next });
+    if (result === 'late' || result === 'not-done' || version !== this.version) return false;
     this.value = next;
     this.version += 1;
-    return fate === 'comes';
+    return result === 'confirmed';
   }
 
   arriveLate(): void {
@@ -70,13 +73,13 @@
   }
 }
 
-/** What one instance last saw of the object that all share. */
+/** The shared object as one instance last read it. */
 interface SeenBudgets {
   value: PrepaidBudgets;
   version: number;
 }
 
-/** Three instances that spend, alone or not, and a bookkeeper who sees all that is spent. */
+/** Three instances that spend, connected or not, and the total that they have spent. */
 class World {
   readonly budgets: Stored<PrepaidBudgets>;
   readonly pages = [0, 1].map(() => new Stored<PrepaidPage>(createPrepaidPage()));
@@ -84,7 +87,7 @@
   readonly limits = new Map([[ACCOUNT, OPENING_LIMIT]]);
   spent = 0;
   #now = 0;
-  #lives = 0;
+  #processes = 0;
   readonly #holders = INSTANCES.map((name) => this.#createHolder(name));
   readonly #running: PrepaidReservation[][] = INSTANCES.map(() => []);
 
@@ -112,11 +115,11 @@
       case 'report':
         this.#report(step.instance, step.reply);
         break;
-      case 'look':
-        this.#look(step.instance);
+      case 'read':
+        this.#read(step.instance);
         break;
       case 'grant':
-        this.#grant(step.instance, step.lacks, step.reply);
+        this.#grant(step.instance, step.shortfall, step.reply);
         break;
       case 'late-write':
         this.budgets.arriveLate();
@@ -138,12 +141,12 @@
     }
   }
 
-  /** The most that may be consumed in all, requests in progress at their maximum. */
+  /** Upper bound of the tokens used in total, with requests in progress at their maximum. */
   get committed(): number {
     return this.spent + this.#running.flat().reduce((sum, { amount }) => sum + amount, 0);
   }
 
-  /** Grants of all groups together, and how far a page and its grant are apart. */
+  /** Sum of the grants of all groups, and the largest excess of a page over its grant. */
   get granted(): { all: number; beyond: number } {
     const grants = this.budgets.value.grants[ACCOUNT] ?? {};
     const beyond = this.pages.map(({ value }, group) => {
@@ -167,13 +170,13 @@
     if (reservation) this.#running[at]?.push(reservation);
   }
 
-  /** A request from its start to its end, fetching what it lacks. */
+  /** Runs a request from start to end and fetches missing tokens. */
   #serve(at: number, amount: number, part: number): void {
     const before = this.#running[at]?.length ?? 0;
     this.#reserve(at, amount);
     if (this.#running[at]?.length === before) {
-      this.#look(at);
-      this.#report(at, 'comes');
+      this.#read(at);
+      this.#report(at, 'confirmed');
       this.#reserve(at, amount);
     }
     if ((this.#running[at]?.length ?? 0) > before) this.#settle(at, part);
@@ -187,31 +190,31 @@
     this.spent += used;
   }
 
-  /** Reads what all share; until then an instance goes by an outdated copy. */
-  #look(at: number): void {
+  /** Reads the shared object. Until then, the instance uses an outdated copy. */
+  #read(at: number): void {
     const { value, version } = this.budgets;
     this.#seen[at] = { value, version };
   }
 
-  #grant(at: number, lacks: number, fate: Fate): void {
+  #grant(at: number, shortfall: number, result: WriteResult): void {
     const seen = this.#seen[at];
     const page = this.#pageOf(at)?.value;
     if (!seen || !page) return;
-    const lacking = new Map([[ACCOUNT, lacks]]);
-    const next = grantPrepaid(seen.value, groupOf(at), page, lacking, this.limits);
-    if (this.budgets.write(seen.version, next, fate)) this.#look(at);
+    const shortfalls = new Map([[ACCOUNT, shortfall]]);
+    const next = grantPrepaid(seen.value, groupOf(at), page, shortfalls, this.limits);
+    if (this.budgets.write(seen.version, next, result)) this.#read(at);
   }
 
-  /** Others take an instance for lost, rightly or not. */
-  #drop(at: number, fate: Fate): void {
+  /** Other instances drop an instance that they consider failed, correctly or not. */
+  #drop(at: number, result: WriteResult): void {
     const page = this.#pageOf(at);
     const budgets = this.#seen[at]?.value;
     if (!page || !budgets) return;
     const without = dropWriter(page.value, INSTANCES[at] ?? '');
-    page.write(page.version, returnSurplus(without, prepaidOutlook(budgets, this.limits)), fate);
+    page.write(page.version, returnSurplus(without, prepaidOutlook(budgets, this.limits)), result);
   }
 
-  #report(at: number, fate: Fate, last = false): void {
+  #report(at: number, result: WriteResult, last = false): void {
     const holder = this.#holders[at];
     const page = this.#pageOf(at);
     const budgets = this.#seen[at]?.value;
@@ -221,25 +224,26 @@
     const report = holder.beginReport(page.value, outlook, this.#now, last);
     if (!report) return;
     if (hasReport(page.value, report)) holder.confirm(page.value);
-    else this.#send(at, holder, report, fate);
+    else this.#send(at, holder, report, result);
   }
 
-  #send(at: number, holder: PrepaidHolder, report: PrepaidReport, fate: Fate): void {
+  #send(at: number, holder: PrepaidHolder, report: PrepaidReport, result: WriteResult): void {
     const page = this.#pageOf(at);
     const seen = this.#seen[at];
     if (!page || !seen) return;
-    for (const lacks of lackingPrepaid(page.value, report).values()) this.#grant(at, lacks, fate);
+    for (const shortfall of lackingPrepaid(page.value, report).values())
+      this.#grant(at, shortfall, result);
     const budgets = this.#seen[at]?.value ?? seen.value;
     const applied = applyReport(takeGrants(page.value, budgets, groupOf(at)), report);
     const next = returnSurplus(applied, prepaidOutlook(budgets, this.limits));
-    if (page.write(page.version, next, fate)) holder.confirm(next);
+    if (page.write(page.version, next, result)) holder.confirm(next);
   }
 
   #pageOf(at: number): Stored<PrepaidPage> | undefined {
     return this.pages[Number(groupOf(at))];
   }
 
-  /** What runs there is consumed whole in the worst case; the successor starts with nothing. */
+  /** Counts running requests at their maximum, the worst case. The successor starts without tokens. */
   #kill(at: number): void {
     for (const { amount } of this.#running[at] ?? []) this.spent += amount;
     this.#running[at] = [];
@@ -247,10 +251,10 @@
   }
 
   #createHolder(instance: string): PrepaidHolder {
-    this.#lives += 1;
+    this.#processes += 1;
     return new PrepaidHolder({
       instance,
-      process: `${instance}-${String(this.#lives)}`,
+      process: `${instance}-${String(this.#processes)}`,
       sizing: new PrepaidSizing(),
       aliveMs: 5_000,
     });
@@ -261,17 +265,17 @@
   return String(Math.floor(at / GROUP_SIZE));
 }
 
-const fate = fc.constantFrom<Fate>('comes', 'lost', 'not-done', 'late');
+const result = fc.constantFrom<WriteResult>('confirmed', 'lost', 'not-done', 'late');
 const instance = fc.integer({ min: 0, max: INSTANCES.length - 1 });
-/** Steps whose requests take so much at most. */
-function stepsUpTo(most: number): fc.Arbitrary<Step> {
+/** Generates steps whose requests need at most `max` tokens. */
+function stepsUpTo(max: number): fc.Arbitrary<Step> {
   return fc.oneof(
     {
       weight: 6,
       arbitrary: fc.record({
         type: fc.constant('reserve' as const),
         instance,
-        amount: fc.integer({ min: 1, max: most }),
+        amount: fc.integer({ min: 1, max }),
       }),
     },
     {
@@ -287,7 +291,7 @@
       arbitrary: fc.record({
         type: fc.constant('serve' as const),
         instance,
-        amount: fc.integer({ min: 1, max: most }),
+        amount: fc.integer({ min: 1, max }),
         part: fc.double({ min: 0.5, max: 1, noNaN: true }),
       }),
     },
@@ -296,7 +300,7 @@
       arbitrary: fc.record({
         type: fc.constant('report' as const),
         instance,
-        reply: fate,
+        reply: result,
       }),
     },
     {
@@ -304,20 +308,20 @@
       arbitrary: fc.record({
         type: fc.constant('grant' as const),
         instance,
-        lacks: fc.integer({ min: 1, max: 20_000 }),
-        reply: fate,
+        shortfall: fc.integer({ min: 1, max: 20_000 }),
+        reply: result,
       }),
     },
-    { weight: 3, arbitrary: fc.record({ type: fc.constant('look' as const), instance }) },
+    { weight: 3, arbitrary: fc.record({ type: fc.constant('read' as const), instance }) },
     { weight: 2, arbitrary: fc.record({ type: fc.constant('late-write' as const) }) },
     { weight: 2, arbitrary: fc.record({ type: fc.constant('kill' as const), instance }) },
     {
       weight: 1,
-      arbitrary: fc.record({ type: fc.constant('stop' as const), instance, reply: fate }),
+      arbitrary: fc.record({ type: fc.constant('stop' as const), instance, reply: result }),
     },
     {
       weight: 1,
-      arbitrary: fc.record({ type: fc.constant('drop' as const), instance, reply: fate }),
+      arbitrary: fc.record({ type: fc.constant('drop' as const), instance, reply: result }),
     },
     {
       weight: 1,
@@ -329,19 +333,19 @@
   );
 }
 
-// a charity pays more than was given: an instance spends while it is cut off, its report takes
-// effect seconds after it was given up, or it is killed and its successor begins anew.
+// Guards against an exceeded budget: an instance spends while disconnected, its report is applied seconds
+// after it timed out, or it is killed and its successor starts again.
 const sizes = [
-  { name: 'few large requests', most: 8_000 },
-  // most of a grant lies undealt here, and groups give back and are granted again.
-  { name: 'many small requests', most: 300 },
-  // what a killed instance held is a large part of the budget, and others come to need it.
-  { name: 'middle-sized requests', most: 2_000 },
+  { name: 'few large requests', max: 8_000 },
+  // Most of a grant is unallocated here, and groups return tokens and are granted them again.
+  { name: 'many small requests', max: 300 },
+  // The tokens of a killed instance are a large part of the budget, and others come to need them.
+  { name: 'medium-sized requests', max: 2_000 },
 ];
-for (const { name, most } of sizes) {
-  test(`${name} never pass a prepaid budget, whatever is lost, late or killed`, () => {
+for (const { name, max } of sizes) {
+  test(`${name} never exceed a prepaid budget under lost and late writes and killed instances`, () => {
     fc.assert(
-      fc.property(fc.array(stepsUpTo(most), LENGTH), (steps) => {
+      fc.property(fc.array(stepsUpTo(max), LENGTH), (steps) => {
         const world = new World();
         for (const next of steps) {
           world.do(next);
@@ -357,16 +361,16 @@
   });
 }
 
-// the check above would prove nothing if the world could not pass a limit at all.
-test("a successor that got its predecessor's tokens again would pass the budget", () => {
+// The check above would prove nothing if the simulated world could not exceed a limit at all.
+test("a successor that gets its predecessor's tokens again exceeds the budget", () => {
   const world = new World();
   for (let round = 0; round < 30; round += 1) {
-    // the first request lacks tokens, so that the report after it fetches enough for the second.
+    // The first request is refused, so the next report fetches enough tokens for the second.
     world.do({ type: 'reserve', instance: 0, amount: 5_000 });
-    world.do({ type: 'report', instance: 0, reply: 'comes' });
+    world.do({ type: 'report', instance: 0, reply: 'confirmed' });
     world.do({ type: 'reserve', instance: 0, amount: 5_000 });
     world.do({ type: 'kill', instance: 0 });
-    // the faulty store forgets that anything is in doubt.
+    // The faulty store drops the tokens in doubt.
     const account = world.pages[0]?.value.accounts[ACCOUNT];
     if (!account) continue;
     account.inDoubt = 0;
