--- a/packages/core/src/runtime/demand.ts
+++ b/packages/core/src/runtime/demand.ts
@@ -9,7 +9,7 @@
 }
 
 /** Time constant of the average: an observation of this age has a weight of 1/e, about a third. */
-export const DEMAND_TIME_CONSTANT_SECONDS = 10;
+export const DEMAND_DECAY_SECONDS = 10;
 
 const MS_PER_SECOND = 1_000;
 /** Minimum observation time that is extrapolated from; a single request says little about a rate. */
@@ -29,14 +29,14 @@
   amount: Tokens,
   now: EpochMs,
 ): DemandEstimate {
-  const rate = currentDemand(estimate, now) + amount / DEMAND_TIME_CONSTANT_SECONDS;
+  const rate = currentDemand(estimate, now) + amount / DEMAND_DECAY_SECONDS;
   return { tokensPerSecond: rate, at: now };
 }
 
 /** Returns the estimate decayed to `now`, in tokens per second. */
 export function currentDemand(estimate: DemandEstimate, now: EpochMs): number {
   const idleSeconds = Math.max(0, now - estimate.at) / MS_PER_SECOND;
-  return estimate.tokensPerSecond * Math.exp(-idleSeconds / DEMAND_TIME_CONSTANT_SECONDS);
+  return estimate.tokensPerSecond * Math.exp(-idleSeconds / DEMAND_DECAY_SECONDS);
 }
 
 /**
@@ -51,7 +51,5 @@
   now: EpochMs,
 ): number {
   const observedSeconds = Math.max(MIN_OBSERVED_SECONDS, (now - since) / MS_PER_SECOND);
-  return (
-    currentDemand(estimate, now) / (1 - Math.exp(-observedSeconds / DEMAND_TIME_CONSTANT_SECONDS))
-  );
+  return currentDemand(estimate, now) / (1 - Math.exp(-observedSeconds / DEMAND_DECAY_SECONDS));
 }
--- a/packages/core/src/runtime/prepaid/prepaidSizing.ts
+++ b/packages/core/src/runtime/prepaid/prepaidSizing.ts
@@ -1,7 +1,7 @@
 /** Decides how much of a prepaid budget an instance holds, so that it can serve while disconnected. */
 
 import type { Tokens } from '../../types/ids.js';
-import { DEMAND_TIME_CONSTANT_SECONDS } from '../demand.js';
+import { DEMAND_DECAY_SECONDS } from '../demand.js';
 
 /** Input for the number of tokens that an instance should hold. */
 export interface PrepaidSizingInput {
@@ -140,8 +140,8 @@
   /** Expected fraction of the account's next requests at this instance, estimated from past demand. */
   #expectedFraction({ rate, fleetRate, instances, typicalRequest }: PrepaidSizingInput): number {
     const prior = Math.max(1, PRIOR_REQUESTS * typicalRequest);
-    const observed = fleetRate * DEMAND_TIME_CONSTANT_SECONDS;
-    return (rate * DEMAND_TIME_CONSTANT_SECONDS + prior / instances) / (observed + prior);
+    const observed = fleetRate * DEMAND_DECAY_SECONDS;
+    return (rate * DEMAND_DECAY_SECONDS + prior / instances) / (observed + prior);
   }
 
   /** Adds the safety margin to a demand that is split evenly over so many instances. */
--- a/test/prepaid/prepaidHolder.test.ts
+++ b/test/prepaid/prepaidHolder.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import {
-  DEMAND_TIME_CONSTANT_SECONDS,
+  DEMAND_DECAY_SECONDS,
   PrepaidHolder,
   PrepaidSizing,
   applyReport,
@@ -175,7 +175,7 @@
       const holder = createHolder('pass-by');
       for (let at = 0; at <= observedMs; at += 500) holder.observe('steady', 1_000, at);
       holder.observe('shop', 1_000, observedMs);
-      const expected = 1_000 / Math.min(observedMs / 1_000, DEMAND_TIME_CONSTANT_SECONDS);
+      const expected = 1_000 / Math.min(observedMs / 1_000, DEMAND_DECAY_SECONDS);
       const rate = holder.rate('shop', observedMs);
       assert.ok(rate <= 1.2 * expected, `${String(rate)} tokens a second`);
     });
