--- a/test/prepaid/loanBook.test.ts
+++ b/test/prepaid/loanBook.test.ts
@@ -73,7 +73,7 @@
     });
   }
 
-  test('lends all free tokens to a waiting request', () => {
+  test('lends what waiting requests need, even if it is more than half of the free tokens', () => {
     const { holder, book } = lender();
     const waiting = report(1, { wants: 30_000 });
     book.take(waiting, { shop: 8_000 }, 0);
--- a/test/prepaid/prepaidExperiment.test.ts
+++ b/test/prepaid/prepaidExperiment.test.ts
@@ -25,7 +25,7 @@
 // Load modelled on a day of the third customer: reports of about 9,000 tokens and notes of 1,100 at seven
 // instances, a few large accounts, some accounts at one instance only, limits of 1.3 times the demand.
 describe('the budgets of a day', () => {
-  test('are refused to less than 1 % of the demand without faults', () => {
+  test('refuse less than 1 % of the demand without faults', () => {
     const { asked, refusedConnected } = run(usual, {});
     assert.ok(refusedConnected < 0.01 * asked, `${String(refusedConnected)} of ${String(asked)}`);
   });
