--- a/packages/core/src/runtime/claims.ts
+++ b/packages/core/src/runtime/claims.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Binds a key to a ticket unless another ticket owns the key. Claiming it again with the same ticket
- * answers `own`, so a claim whose reply was lost can be repeated.
+ * Binds a key to a ticket unless another ticket owns the key. Claiming it again with the same
+ * ticket answers `own`, so a claim whose reply was lost can be repeated.
  *
  * @example
  * claim(page, keyDigest, { ticket, bodyDigest, at: now }).answer;
@@ -54,9 +54,9 @@
 }
 
 /**
- * Records that a ticket which may own a key has ended without a bill. The record is also stored if the
- * key has no owner: an earlier claim of that ticket may still be in flight, and must not take effect
- * afterwards.
+ * Records that a ticket which may own a key has ended without a bill. The record is also stored if
+ * the key has no owner: an earlier claim of that ticket may still be in flight, and must not take
+ * effect afterwards.
  *
  * @example
  * giveUp(page, keyDigest, { ticket, bodyDigest, at: now });
--- a/packages/core/src/runtime/demand.ts
+++ b/packages/core/src/runtime/demand.ts
@@ -12,7 +12,9 @@
 export const DEMAND_DECAY_SECONDS = 10;
 
 const MS_PER_SECOND = 1_000;
-/** Minimum observation time that is extrapolated from; a single request says little about a rate. */
+/**
+ * Minimum observation time that is extrapolated from; a single request says little about a rate.
+ */
 const MIN_OBSERVED_SECONDS = 2;
 
 /** Estimate before the first observation. */
--- a/packages/core/src/runtime/journal.ts
+++ b/packages/core/src/runtime/journal.ts
@@ -1,6 +1,6 @@
 /**
- * Reducer of the journal. Each function returns a new state and is idempotent, so a write whose reply
- * was lost can be repeated on the state that is read back.
+ * Reducer of the journal. Each function returns a new state and is idempotent, so a write whose
+ * reply was lost can be repeated on the state that is read back.
  */
 
 import type {
@@ -105,8 +105,8 @@
 }
 
 /**
- * Finds the incarnation that now answers for a witness: the witness itself, or the latest incarnation
- * of the same process if the witness was sealed.
+ * Finds the incarnation that now answers for a witness: the witness itself, or the latest
+ * incarnation of the same process if the witness was sealed.
  */
 export function answeringIncarnation(state: JournalState, witness: IncarnationId): IncarnationId {
   const successors = Object.entries(state.holders)
@@ -177,8 +177,8 @@
 export type ProvisionalVerdict = 'billed' | 'void';
 
 /**
- * Settles a provisional bill once. `billed` adds it to the invoice. `void` frees its tokens, because
- * another ticket with the same key is billed. Later calls change nothing.
+ * Settles a provisional bill once. `billed` adds it to the invoice. `void` frees its tokens,
+ * because another ticket with the same key is billed. Later calls change nothing.
  *
  * @example
  * state = settleProvisional(state, { issuer: holder, number: 7 }, 'void');
@@ -202,7 +202,9 @@
   return draft.state;
 }
 
-/** Merges the total that the ledger granted, by maximum, so that an outdated total has no effect. */
+/**
+ * Merges the total that the ledger granted, by maximum, so that an outdated total has no effect.
+ */
 export function recordGrant(
   state: JournalState,
   account: AccountId,
@@ -223,7 +225,9 @@
   return draft.state;
 }
 
-/** Returns the contents of the open segment, to be stored as an object before {@link rollSegment}. */
+/**
+ * Returns the contents of the open segment, to be stored as an object before {@link rollSegment}.
+ */
 export function openSegment(state: JournalState): BillSegment {
   return {
     dataCentre: state.dataCentre,
--- a/packages/core/src/runtime/journalDraft.ts
+++ b/packages/core/src/runtime/journalDraft.ts
@@ -1,4 +1,6 @@
-/** Copy-on-write editing of a journal. A batch of lines copies each holder and account only once. */
+/**
+ * Copy-on-write editing of a journal. A batch of lines copies each holder and account only once.
+ */
 
 import type { AccountId, IncarnationId, Tokens } from '../types/ids.js';
 import type { JournalAccount, JournalHolder, JournalState } from '../types/journal.js';
--- a/packages/core/src/runtime/journalTotals.ts
+++ b/packages/core/src/runtime/journalTotals.ts
@@ -12,12 +12,16 @@
   return Math.max(0, totals.grantedIn - totals.returnedOut - charged);
 }
 
-/** Tokens of holders that are being sealed: charged, and not spendable until sealing is complete. */
+/**
+ * Tokens of holders that are being sealed: charged, and not spendable until sealing is complete.
+ */
 export function inDoubt(state: JournalState, account: AccountId): Tokens {
   return sumSlices(state, account, (holder) => holder.state === 'sealing');
 }
 
-/** Returns the first account whose spend and slices exceed its grants, or `undefined` if none does. */
+/**
+ * Returns the first account whose spend and slices exceed its grants, or `undefined` if none does.
+ */
 export function checkInvariant(state: JournalState): AccountId | undefined {
   return Object.keys(state.accounts).find((account) => {
     const totals = state.accounts[account];
--- a/packages/core/src/runtime/prepaid/demandSpread.ts
+++ b/packages/core/src/runtime/prepaid/demandSpread.ts
@@ -18,7 +18,8 @@
 /**
  * Returns the effective number of instances that receive the account's requests: the number that
  * would receive the same demand if all had equal rates. A load balancer keeps a caller at one
- * instance, so an account with few callers uses few instances, and the others need none of its tokens.
+ * instance, so an account with few callers uses few instances, and the others need none of its
+ * tokens.
  *
  * @param known demand at some of the instances, taken as a sample.
  * @param rate demand at all instances, in tokens per second.
--- a/packages/core/src/runtime/prepaid/loanBook.ts
+++ b/packages/core/src/runtime/prepaid/loanBook.ts
@@ -7,7 +7,9 @@
 import { sum } from '../../utils/sum.js';
 import { knownDemand } from './demandSpread.js';
 
-/** Fraction of the free tokens that is lent ahead of demand if a borrower wants more than is free. */
+/**
+ * Fraction of the free tokens that is lent ahead of demand if a borrower wants more than is free.
+ */
 const MAX_SPECULATIVE_FRACTION = 0.5;
 
 /** Tokens of an account that one borrower holds. */
@@ -39,8 +41,8 @@
 
 /**
  * Loans of one holder. A loan is reserved in the holder like the tokens of a request, so the store
- * counts it as held until the borrower reports what it spent. If a borrower stops reporting, its loans
- * are charged, because it may have spent them or may still spend them.
+ * counts it as held until the borrower reports what it spent. If a borrower stops reporting, its
+ * loans are charged, because it may have spent them or may still spend them.
  *
  * @example
  * if (book.take(report, urgent, now) === 'taken') answer(book.held(report.instance, 'shop'));
@@ -151,8 +153,8 @@
   }
 
   /**
-   * Lends the shortfall of each account that can be covered whole now. Lends nothing if the borrower
-   * has sent another report since.
+   * Lends the shortfall of each account that can be covered whole now. Lends nothing if the
+   * borrower has sent another report since.
    */
   lendLacking(
     { instance, incarnation, seq }: PrepaidReport,
@@ -182,7 +184,9 @@
     return silent.map(([name]) => name);
   }
 
-  /** Whether a report accounts for no more than was lent. Otherwise nothing in it can be trusted. */
+  /**
+   * Whether a report accounts for no more than was lent. Otherwise nothing in it can be trusted.
+   */
   #isCoveredByLoans({ instance, entries }: PrepaidReport): boolean {
     return Object.entries(entries).every(([account, { spent, keeps }]) => {
       return spent >= 0 && keeps >= 0 && spent + keeps <= this.held(instance, account);
--- a/packages/core/src/runtime/prepaid/memberWatch.ts
+++ b/packages/core/src/runtime/prepaid/memberWatch.ts
@@ -12,9 +12,9 @@
 }
 
 /**
- * Failure detector for the members of one group, based on the reports that their page shows. It does
- * not change any tokens. A wrong result is safe: an instance that was only disconnected has its next
- * report fenced.
+ * Failure detector for the members of one group, based on the reports that their page shows. It
+ * does not change any tokens. A wrong result is safe: an instance that was only disconnected has
+ * its next report fenced.
  *
  * @example
  * const watch = new MemberWatch(600_000);
--- a/packages/core/src/runtime/prepaid/prepaidBudgets.ts
+++ b/packages/core/src/runtime/prepaid/prepaidBudgets.ts
@@ -14,22 +14,22 @@
 export type PrepaidLimits = ReadonlyMap<AccountId, Tokens>;
 
 /**
- * Divisor of a group's even share of the ungranted tokens: each grant is this fraction of the share,
- * so that the first group to ask does not take everything. With one group, each grant is half of the
- * ungranted tokens, so a budget is used up in about ten grants.
+ * Divisor of a group's even share of the ungranted tokens: each grant is the share divided
+ * by it, so that the first group to ask does not take everything. With one group, each grant is
+ * half of the ungranted tokens, so a budget is used up in about ten grants.
  */
 const GRANT_DIVISOR = 2;
 
 /**
- * Fraction of a new grant below which an account runs low in a group. It is then granted together with
- * the next account that the group asks for. All groups write the same object, so one write for several
- * accounts causes fewer update conflicts than one write for each.
+ * Fraction of a new grant below which an account runs low in a group. It is then granted together
+ * with the next account that the group asks for. All groups write the same object, so one write for
+ * several accounts causes fewer update conflicts than one write for each.
  */
 const LOW_GRANT_FRACTION = 0.5;
 
 /**
- * Fraction of a group's even part of the limit. A smaller surplus is not returned, because each return
- * costs a call to the store.
+ * Fraction of a group's even part of the limit. A smaller surplus is not returned, because each
+ * return costs a call to the store.
  */
 const MIN_RETURN_FRACTION = 0.05;
 
@@ -41,8 +41,8 @@
 }
 
 /**
- * Adds an instance to the first group that is not full. An instance stays in its group, also after a
- * restart, so that the new process finds what its predecessor held.
+ * Adds an instance to the first group that is not full. An instance stays in its group, also after
+ * a restart, so that the new process finds what its predecessor held.
  *
  * @param groupSize maximum number of instances in a group.
  */
@@ -72,9 +72,9 @@
 }
 
 /**
- * Returns the next group in a ring of all groups that have members, or the group itself if it is the
- * only one. Each group also watches the next group, because no instance is left to do so in a group
- * that failed as a whole.
+ * Returns the next group in a ring of all groups that have members, or the group itself if it is
+ * the only one. Each group also watches the next group, because no instance is left to do so in a
+ * group that failed as a whole.
  */
 export function nextGroup(budgets: PrepaidBudgets, group: string): string {
   const groups = [...new Set(Object.values(budgets.members))].map(Number).sort((a, b) => a - b);
@@ -98,9 +98,9 @@
 }
 
 /**
- * Returns the grants that a group asks for, with the minimum amount of each: accounts with a shortfall
- * that the known grants do not cover and that have ungranted tokens. If there are any, accounts that
- * run low are added with a minimum of 0.
+ * Returns the grants that a group asks for, with the minimum amount of each: accounts with a
+ * shortfall that the known grants do not cover and that have ungranted tokens. If there are any,
+ * accounts that run low are added with a minimum of 0.
  *
  * @param page the group's page, which may not include all known grants yet.
  *
@@ -150,9 +150,9 @@
 }
 
 /**
- * Grants a group its shortfall of each account, or the fair grant if that is larger, so that it does
- * not have to ask again for each request. Also applies the returns and the spending that the group's
- * page shows.
+ * Grants a group its shortfall of each account, or the fair grant if that is larger, so that it
+ * does not have to ask again for each request. Also applies the returns and the spending that the
+ * group's page shows.
  *
  * @example
  * const next = grantPrepaid(budgets, '0', page, lackingPrepaid(page, report), limits);
@@ -192,10 +192,10 @@
 
 /**
  * Returns tokens that other groups are more likely to need: if the unallocated tokens of an account
- * exceed twice the fair grant, all beyond one fair grant is returned. This is needed when the callers
- * of an account move to other instances, or when the first instances to start were granted tokens
- * before the others had joined. Otherwise other groups would refuse requests while these tokens stay
- * unused. A group without instances returns all unallocated tokens.
+ * exceed twice the fair grant, all beyond one fair grant is returned. This is needed when the
+ * callers of an account move to other instances, or when the first instances to start were granted
+ * tokens before the others had joined. Otherwise other groups would refuse requests while these
+ * tokens stay unused. A group without instances returns all unallocated tokens.
  */
 export function returnSurplus(
   page: PrepaidPage,
--- a/packages/core/src/runtime/prepaid/prepaidHolder.ts
+++ b/packages/core/src/runtime/prepaid/prepaidHolder.ts
@@ -36,8 +36,8 @@
   /** Decides how many tokens to hold for borrowers. @default sizing */
   lendingSizing?: PrepaidSizing;
   /**
-   * Milliseconds after which the instance reports even if nothing has changed, so that its group can
-   * distinguish it from a failed instance.
+   * Milliseconds after which the instance reports even if nothing has changed, so that its group
+   * can distinguish it from a failed instance.
    */
   aliveMs: number;
   /** Whether callers are expected to stay after an account's first request here. @default 'stay' */
@@ -149,14 +149,12 @@
 
   /** Tokens held of all accounts, including reserved tokens. */
   get heldInAll(): Tokens {
-    return sum([...this.#holdings.values()].map(({ held: rights }) => rights));
+    return sum([...this.#holdings.values()].map(({ held }) => held));
   }
 
   /** Whether any tokens are held or reserved. */
   get hasRights(): boolean {
-    return [...this.#holdings.values()].some(
-      ({ held: rights, reserved }) => rights > 0 || reserved > 0,
-    );
+    return [...this.#holdings.values()].some(({ held, reserved }) => held > 0 || reserved > 0);
   }
 
   /** Whether any spending is not reported yet, or a report is in flight. */
@@ -220,9 +218,9 @@
   }
 
   /**
-   * Keeps tokens for a waiting request until {@link endWait}. Without this, a report that is built after
-   * the tokens arrive and before the request's next try would return all tokens above the target, and
-   * the request would be refused.
+   * Keeps tokens for a waiting request until {@link endWait}. Without this, a report that is built
+   * after the tokens arrive and before the request's next try would return all tokens above the
+   * target, and the request would be refused.
    */
   beginWait(account: AccountId, amount: Tokens): void {
     this.#holding(account).awaited += amount;
@@ -273,8 +271,9 @@
   }
 
   /**
-   * Starts a new incarnation without tokens, after the page has moved the tokens to in doubt because
-   * this instance did not report for long. Tokens that requests in progress use are charged already.
+   * Starts a new incarnation without tokens, after the page has moved the tokens to in doubt
+   * because this instance did not report for long. Tokens that requests in progress use are charged
+   * already.
    */
   renew(): void {
     this.#incarnationNumber += 1;
@@ -309,8 +308,8 @@
   }
 
   /**
-   * Builds the next report, or returns `undefined` if nothing has changed. Tokens that it returns can
-   * no longer be spent here, so they are never available in two places.
+   * Builds the next report, or returns `undefined` if nothing has changed. Tokens that it returns
+   * can no longer be spent here, so they are never available in two places.
    */
   reportBy(view: PrepaidView, now: EpochMs, last = false): PrepaidReport | undefined {
     if (this.#pending) return this.#pending;
--- a/packages/core/src/runtime/prepaid/prepaidPage.ts
+++ b/packages/core/src/runtime/prepaid/prepaidPage.ts
@@ -22,8 +22,9 @@
 }
 
 /**
- * Whether the page no longer lists the reporting process, because it did not report for long or because
- * a successor has reported. Its tokens are then in doubt, and the report would count them twice.
+ * Whether the page no longer lists the reporting process, because it did not report for long or
+ * because a successor has reported. Its tokens are then in doubt, and the report would count them
+ * twice.
  */
 export function isFenced(page: PrepaidPage, report: PrepaidReport): boolean {
   return report.seq > 1 && page.writers[report.instance]?.incarnation !== report.incarnation;
@@ -54,8 +55,8 @@
 }
 
 /**
- * Removes an instance and moves its tokens to `inDoubt`. If the instance is still alive, its next report
- * is fenced.
+ * Removes an instance and moves its tokens to `inDoubt`. If the instance is still alive, its next
+ * report is fenced.
  */
 export function dropWriter(page: PrepaidPage, instance: string): PrepaidPage {
   if (!page.writers[instance]) return page;
@@ -88,8 +89,8 @@
  * Returns the tokens that a report requests and the page cannot allocate, by account.
  *
  * @example
- * const lacking = lackingPrepaid(page, report);
- * if (lacking.size > 0) await askForGrants(lacking);
+ * const shortfalls = lackingPrepaid(page, report);
+ * if (shortfalls.size > 0) await askForGrants(shortfalls);
  */
 export function lackingPrepaid(page: PrepaidPage, report: PrepaidReport): Map<AccountId, Tokens> {
   const shortfalls = new Map<AccountId, Tokens>();
--- a/packages/core/src/runtime/slicePolicy.ts
+++ b/packages/core/src/runtime/slicePolicy.ts
@@ -1,7 +1,7 @@
 /**
- * Decides how many tokens of a budget a data centre and a router should hold. The policy affects who
- * is served when tokens are short or a data centre is disconnected. It never affects how much may be
- * spent.
+ * Decides how many tokens of a budget a data centre and a router should hold. The policy affects
+ * who is served when tokens are short or a data centre is disconnected. It never affects how much
+ * may be spent.
  */
 
 import type { DeploymentPolicy, Importance } from '../types/declaration.js';
@@ -38,8 +38,8 @@
   /** Demand that a router holds tokens for, in seconds. */
   protected abstract readonly sliceSeconds: number;
   /**
-   * Upper bound of a target as a fraction of an even share of the remaining tokens. Only a shortfall
-   * of waiting requests raises a target above it.
+   * Upper bound of a target as a fraction of an even share of the remaining tokens. Only a
+   * shortfall of waiting requests raises a target above it.
    */
   protected abstract readonly evenShareFraction: number;
   /** Fraction of the limit that is reserved for requests of importance `first`. */
@@ -82,8 +82,8 @@
 }
 
 /**
- * Serves longer while disconnected: larger slices, and nearly all remaining tokens are granted to the
- * data centres that use them.
+ * Serves longer while disconnected: larger slices, and nearly all remaining tokens are granted to
+ * the data centres that use them.
  */
 class AvoidFalseRefusals extends SlicePolicy {
   protected override readonly sliceSeconds = 5;
--- a/packages/core/src/runtime/spender.ts
+++ b/packages/core/src/runtime/spender.ts
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Applies a newer journal. An older journal is ignored and `false` is returned: it does not include
-   * lines that were already removed here, so spent tokens would appear as available.
+   * Applies a newer journal. An older journal is ignored and `false` is returned: it does not
+   * include lines that were already removed here, so spent tokens would appear as available.
    */
   sync(journal: SpenderJournal): boolean {
     const seq = journal.holders[this.holder]?.seq ?? 0;
@@ -210,7 +210,8 @@
     const budget = this.#budgets.get(request.account);
     if (!budget) return isShort ? 'no-tokens' : undefined;
     const remaining = budget.limit - budget.spentElsewhere - this.#drawnLocally(request.account);
-    // The limit may have been raised since it was read, so held tokens are never refused because of it.
+    // The limit may have been raised since it was read, so held tokens are never refused because of
+    // it.
     if (isShort && remaining < request.amount) return 'budget-spent';
     if (request.floor > 0 && remaining - request.amount < request.floor) {
       return 'reserved-for-first';
@@ -254,7 +255,9 @@
     return total;
   }
 
-  /** Tokens that unapplied lines remove from the slice. An unapplied `take` does not add any yet. */
+  /**
+   * Tokens that unapplied lines remove from the slice. An unapplied `take` does not add any yet.
+   */
   #unappliedDebit(account: AccountId): Tokens {
     let total = this.#unappliedBills(account);
     for (const { change } of this.#unapplied) {
--- a/packages/core/src/runtime/witness.ts
+++ b/packages/core/src/runtime/witness.ts
@@ -58,7 +58,8 @@
   const entry = journal.holders[holder];
   if (!entry) return Result.err('unknown-holder');
   if (entry.state !== 'open') return Result.err('fenced');
-  // A gap to older stored lines is fine: a holder sends all lines that the journal does not include.
+  // A gap to older stored lines is fine: a holder sends all lines that the journal does not
+  // include.
   if (!isDense(lines)) return Result.err('gap');
   const merged = mergeLines(kept.lines, lines);
   if (merged.length > limits.linesPerHolder) return Result.err('full');
@@ -80,7 +81,8 @@
 export function dropApplied(state: WitnessState, journal: JournalState): WitnessState {
   const kept = Object.entries(state.holders).flatMap(([id, held]) => {
     const entry = journal.holders[id];
-    // The fence may have arrived before a journal that lists the holder was read, so it must be kept.
+    // The fence may have arrived before a journal that lists the holder was read, so it must be
+    // kept.
     if (!entry) return held.fenced ? [[id, held] as const] : [];
     if (entry.state === 'sealed' || entry.state === 'closed') return [];
     const lines = held.lines.filter((line) => line.seq > entry.seq);
--- a/packages/core/src/types/journal.ts
+++ b/packages/core/src/types/journal.ts
@@ -23,7 +23,9 @@
 /** Journal entry of one router incarnation: the tokens that it holds and what it has recorded. */
 export interface JournalHolder {
   state: HolderState;
-  /** Sequence number of the last line applied. Lines are numbered without gaps and applied in order. */
+  /**
+   * Sequence number of the last line applied. Lines are numbered without gaps and applied in order.
+   */
   seq: number;
   /** Incarnations that may store this holder's lines while the platform is unreachable. */
   witnesses: IncarnationId[];
--- a/packages/core/src/types/prepaid.ts
+++ b/packages/core/src/types/prepaid.ts
@@ -1,9 +1,9 @@
 /**
  * Prepaid budgets whose tokens are allocated to instances. They are stored objects, changed only by
- * conditional update, that record what was spent and how much each instance may still spend. Budgets
- * are granted to groups of instances, and the page of a group allocates its grant to its instances.
- * A single page for the whole fleet would cause many update conflicts and be slow to transfer over a
- * slow link.
+ * conditional update, that record what was spent and how much each instance may still spend.
+ * Budgets are granted to groups of instances, and the page of a group allocates its grant to its
+ * instances. A single page for the whole fleet would cause many update conflicts and be slow to
+ * transfer over a slow link.
  */
 
 import type { AccountId, DataCentreId, IncarnationId, Tokens } from './ids.js';
@@ -53,8 +53,8 @@
 
 /**
  * Value of the single object that all groups share: which instance belongs to which group, and what
- * each group was granted. Invariant for each account: the sum of granted - returned never exceeds the
- * account's limit.
+ * each group was granted. Invariant for each account: the sum of granted - returned never exceeds
+ * the account's limit.
  */
 export interface PrepaidBudgets {
   /** Group of each instance, by instance name. */
@@ -147,7 +147,9 @@
   spread?: number | undefined;
   /** Tokens that could be lent in addition to `held`. */
   available: Tokens;
-  /** Tokens spent or in doubt in the whole fleet, as far as the lender knows; may be out of date. */
+  /**
+   * Tokens spent or in doubt in the whole fleet, as far as the lender knows; may be out of date.
+   */
   gone: Tokens;
 }
 
--- a/test/differential/differential.test.ts
+++ b/test/differential/differential.test.ts
@@ -79,8 +79,8 @@
 }
 
 /**
- * Whether the bill is only at a holder that cannot be sealed because its witness crashed. By design,
- * its tokens stay charged. livingHolder.test.ts shows a case in which this is wrong.
+ * Whether the bill is only at a holder that cannot be sealed because its witness crashed. By
+ * design, its tokens stay charged. livingHolder.test.ts shows a case in which this is wrong.
  */
 function isInDoubt(real: ReducerFleet, key: number): boolean {
   const issuer = real.ownerOf(key)?.issuer ?? '';
@@ -102,8 +102,8 @@
 });
 
 test('under faults, requests that both serve are billed alike and none runs or is charged too often', (context) => {
-  // Guards against a request that is billed twice, or reported as not run although it ran. It comes about
-  // when routers crash, are sealed while alive, or are disconnected while callers retry.
+  // Guards against a request that is billed twice, or reported as not run although it ran. It comes
+  // about when routers crash, are sealed while alive, or are disconnected while callers retry.
   const counts = {
     servedByBoth: 0,
     inDoubt: 0,
--- a/test/prepaid/demandSpread.test.ts
+++ b/test/prepaid/demandSpread.test.ts
@@ -31,8 +31,8 @@
   }
 });
 
-// Guards against refused callers while all instances are disconnected: the tokens were sized as if the
-// callers used all 195 instances.
+// Guards against refused callers while all instances are disconnected: the tokens were sized as if
+// the callers used all 195 instances.
 describe('an account whose callers use 28 of 195 instances, all disconnected for eight seconds', () => {
   const USED_INSTANCES = 28;
   const OUTAGE_SECONDS = 8;
--- a/test/prepaid/loanBook.test.ts
+++ b/test/prepaid/loanBook.test.ts
@@ -46,7 +46,8 @@
       expected: { held: 800, free: 8_000, left: 8_800 },
     },
     {
-      // Otherwise the next borrower would be refused while the first one holds tokens that it does not need.
+      // Otherwise the next borrower would be refused while the first one holds tokens that it does
+      // not need.
       name: 'lends only half of the free tokens if more is requested than is free',
       reports: [report(1, { wants: 30_000 })],
       expected: { held: 5_000, free: 5_000, left: HELD },
@@ -94,8 +95,8 @@
   });
 });
 
-// Guards against an exceeded budget: a lender accepts a report of loans that it did not make, or that it
-// made in an earlier incarnation.
+// Guards against an exceeded budget: a lender accepts a report of loans that it did not make, or
+// that it made in an earlier incarnation.
 describe('LoanBook forgets', () => {
   const cases = [
     {
--- a/test/prepaid/memberWatch.test.ts
+++ b/test/prepaid/memberWatch.test.ts
@@ -12,8 +12,8 @@
   return { ...createPrepaidPage(), writers: Object.fromEntries(writers) };
 }
 
-// Guards against tokens that stay with a machine that was removed without a clean shutdown: only the
-// missing reports show that it is gone.
+// Guards against tokens that stay with a machine that was removed without a clean shutdown: only
+// the missing reports show that it is gone.
 describe('MemberWatch.silent returns', () => {
   const reads = [
     { name: 'no instance at the first read', at: [0], seqs: [1], lost: [] },
--- a/test/prepaid/prepaidBudgets.test.ts
+++ b/test/prepaid/prepaidBudgets.test.ts
@@ -40,8 +40,8 @@
   return Object.fromEntries(grants) as PrepaidBudgets['grants'];
 }
 
-function grant(budgets: PrepaidBudgets, group: string, lacks: number): PrepaidBudgets {
-  return grantPrepaid(budgets, group, createPrepaidPage(), new Map([['shop', lacks]]), limits);
+function grant(budgets: PrepaidBudgets, group: string, shortfall: number): PrepaidBudgets {
+  return grantPrepaid(budgets, group, createPrepaidPage(), new Map([['shop', shortfall]]), limits);
 }
 
 test('joinGroup fills one group after the other and keeps members in their group', () => {
@@ -50,8 +50,8 @@
   assert.equal(joinGroup(budgets, 'a', 1), budgets);
 });
 
-// Guards against refused callers although many tokens are left: groups that ask for one account at a time
-// cause update conflicts for each other.
+// Guards against refused callers although many tokens are left: groups that ask for one account at
+// a time cause update conflicts for each other.
 describe('wantedGrants', () => {
   const both = new Map([
     ['shop', 1_000],
@@ -66,13 +66,13 @@
   const cases: readonly {
     name: string;
     page: PrepaidPage;
-    lacks: number;
+    shortfall: number;
     wanted: [string, number][];
   }[] = [
     {
       name: 'adds an account without tokens in the group',
       page: createPrepaidPage(),
-      lacks: 10,
+      shortfall: 10,
       wanted: [
         ['shop', 10],
         ['depot', 0],
@@ -81,7 +81,7 @@
     {
       name: 'adds an account that runs low',
       page: pageOf(250, 170),
-      lacks: 10,
+      shortfall: 10,
       wanted: [
         ['shop', 10],
         ['depot', 0],
@@ -90,28 +90,28 @@
     {
       name: 'omits an account with enough tokens',
       page: pageOf(250),
-      lacks: 10,
+      shortfall: 10,
       wanted: [['shop', 10]],
     },
     {
       name: 'is empty without a shortfall',
       page: createPrepaidPage(),
-      lacks: 0,
+      shortfall: 0,
       wanted: [],
     },
   ];
-  for (const { name, page, lacks, wanted } of cases) {
+  for (const { name, page, shortfall, wanted } of cases) {
     test(name, () => {
-      const lacking = new Map(lacks > 0 ? [['shop', lacks]] : []);
+      const shortfalls = new Map(shortfall > 0 ? [['shop', shortfall]] : []);
       const granted = { ...budgets, grants: grantsOf(page) };
-      assert.deepEqual([...wantedGrants(granted, '0', page, lacking, both)], wanted);
+      assert.deepEqual([...wantedGrants(granted, '0', page, shortfalls, both)], wanted);
     });
   }
 
   test('counts a grant that the page does not include yet', () => {
     const granted = grant(budgets, '0', 300);
-    const lacking = new Map([['shop', 200]]);
-    assert.deepEqual([...wantedGrants(granted, '0', createPrepaidPage(), lacking, limits)], []);
+    const shortfalls = new Map([['shop', 200]]);
+    assert.deepEqual([...wantedGrants(granted, '0', createPrepaidPage(), shortfalls, limits)], []);
   });
 
   test('leads to a fair grant of added accounts', () => {
@@ -121,8 +121,8 @@
   });
 });
 
-// Guards against a shared object that grows without bound, and a shrinking part of the retries for each
-// instance: instances are replaced under new names each day and their membership never ends.
+// Guards against a shared object that grows without bound, and a shrinking part of the retries for
+// each instance: instances are replaced under new names each day and their membership never ends.
 test('leaveGroup frees the places of instances', () => {
   const budgets = leaveGroup(budgetsOf('a', 'b', 'c'), ['a', 'unknown']);
   assert.deepEqual(budgets.members, { b: '0', c: '1' });
@@ -150,27 +150,27 @@
 
 describe('grantPrepaid', () => {
   const cases = [
-    { name: 'grants a single group half of the rest', members: ['a'], lacks: 10, granted: 500 },
+    { name: 'grants a single group half of the rest', members: ['a'], shortfall: 10, granted: 500 },
     {
       name: 'grants each of two groups a quarter',
       members: ['a', 'b', 'c'],
-      lacks: 10,
+      shortfall: 10,
       granted: 250,
     },
-    { name: 'grants the shortfall if that is more', members: ['a'], lacks: 800, granted: 800 },
-    { name: 'never exceeds the limit', members: ['a'], lacks: 5_000, granted: 1_000 },
+    { name: 'grants the shortfall if that is more', members: ['a'], shortfall: 800, granted: 800 },
+    { name: 'never exceeds the limit', members: ['a'], shortfall: 5_000, granted: 1_000 },
   ];
-  for (const { name, members, lacks, granted } of cases) {
+  for (const { name, members, shortfall, granted } of cases) {
     test(name, () => {
-      const budgets = grant(budgetsOf(...members), '0', lacks);
+      const budgets = grant(budgetsOf(...members), '0', shortfall);
       assert.equal(budgets.grants.shop?.['0']?.granted, granted);
       assert.equal(ungrantedPrepaid(budgets, 'shop', 1_000), 1_000 - granted);
     });
   }
 
   test('grants nothing of an account without a current limit', () => {
-    const lacking = new Map([['gone', 100]]);
-    const budgets = grantPrepaid(budgetsOf('a'), '0', createPrepaidPage(), lacking, limits);
+    const shortfalls = new Map([['gone', 100]]);
+    const budgets = grantPrepaid(budgetsOf('a'), '0', createPrepaidPage(), shortfalls, limits);
     assert.equal(budgets.grants.gone, undefined);
   });
 
@@ -183,20 +183,21 @@
   });
 });
 
-// Limits change in both directions, for example when the top-up of the previous day is removed: a lower
-// limit must not be exceeded, and a higher one must be granted.
+// Limits change in both directions, for example when the top-up of the previous day is removed: a
+// lower limit must not be exceeded, and a higher one must be granted.
 test('ungrantedPrepaid follows a changed limit', () => {
   const budgets = grant(budgetsOf('a'), '0', 800);
   assert.equal(ungrantedPrepaid(budgets, 'shop', 500), 0);
   assert.equal(ungrantedPrepaid(budgets, 'shop', 1_500), 700);
 });
 
-// Guards against a final refusal (402) while another group still holds tokens that it will return soon.
+// Guards against a final refusal (402) while another group still holds tokens that it will return
+// soon.
 test('leftPrepaid subtracts only tokens that groups reported as spent or in doubt', () => {
   const granted = grant(budgetsOf('a', 'b', 'c'), '0', 400);
   const spent = pageWith({ granted: 400, spent: 300, inDoubt: 50 });
-  const told = grantPrepaid(granted, '0', spent, new Map([['shop', 10]]), limits);
-  assert.equal(leftPrepaid(told, 'shop', 1_000), 650);
+  const updated = grantPrepaid(granted, '0', spent, new Map([['shop', 10]]), limits);
+  assert.equal(leftPrepaid(updated, 'shop', 1_000), 650);
   assert.equal(leftPrepaid(granted, 'shop', 1_000), 1_000);
 });
 
@@ -205,8 +206,9 @@
   assert.deepEqual(outlook.get('shop'), { limitPart: 500, beyond: 300, groups: 2 });
 });
 
-// Guards against callers refused with 503 while two fifths of their budget are unused: the first instances
-// to start were granted half of it before the others had joined, and could not return any.
+// Guards against callers refused with 503 while two fifths of their budget are unused: the first
+// instances to start were granted half of it before the others had joined, and could not return
+// any.
 describe('returnSurplus', () => {
   const outlook = new Map([['shop', { limitPart: 500, beyond: 0, groups: 2 }]]);
 
--- a/test/prepaid/prepaidExperiment.test.ts
+++ b/test/prepaid/prepaidExperiment.test.ts
@@ -22,23 +22,24 @@
 
 const usual = new PrepaidSizing();
 
-// Load modelled on a day of the third customer: reports of about 9,000 tokens and notes of 1,100 at seven
-// instances, a few large accounts, some accounts at one instance only, limits of 1.3 times the demand.
+// Load modelled on a day of the third customer: reports of about 9,000 tokens and notes of 1,100 at
+// seven instances, a few large accounts, some accounts at one instance only, limits of 1.3 times
+// the demand.
 describe('the budgets of a day', () => {
   test('refuse less than 1 % of the demand without faults', () => {
     const { asked, refusedConnected } = run(usual, {});
     assert.ok(refusedConnected < 0.01 * asked, `${String(refusedConnected)} of ${String(asked)}`);
   });
 
-  // Guards against callers refused for the rest of the day: all instances were killed at the start of its
-  // last quarter, and half of the remaining tokens are in doubt.
+  // Guards against callers refused for the rest of the day: all instances were killed at the start
+  // of its last quarter, and half of the remaining tokens are in doubt.
   test('serve 98 % of the demand after a loss of all instances late in the day', () => {
     const { asked, refusedConnected } = run(usual, { killsAt: [41] });
     assert.ok(refusedConnected < 0.02 * asked, `${String(refusedConnected)} of ${String(asked)}`);
   });
 
-  // In the early outage, which starts 6 s after the start, no instance knows yet which instances the
-  // callers use.
+  // In the early outage, which starts 6 s after the start, no instance knows yet which instances
+  // the callers use.
   const cases = [
     { name: 'early', cut: [6, 14] },
     { name: 'later', cut: [23, 31] },
--- a/test/prepaid/prepaidHolder.test.ts
+++ b/test/prepaid/prepaidHolder.test.ts
@@ -25,7 +25,9 @@
   return { ...createPrepaidPage(), accounts: { shop } };
 }
 
-/** Returns a holder and its page after a first exchange that fetched tokens for a request of 1,000. */
+/**
+ * Returns a holder and its page after a first exchange that fetched tokens for a request of 1,000.
+ */
 function start(): { holder: PrepaidHolder; page: PrepaidPage } {
   const holder = createHolder();
   holder.observe('shop', 1_000, 0);
@@ -57,8 +59,8 @@
   return report;
 }
 
-// Guards against tokens that are spent or counted twice: an instance that was disconnected for long comes
-// back after its group has charged the tokens that it held.
+// Guards against tokens that are spent or counted twice: an instance that was disconnected for long
+// comes back after its group has charged the tokens that it held.
 describe('a holder that its page no longer lists', () => {
   test('continues without tokens as a new incarnation', () => {
     const { holder, page } = start();
@@ -90,8 +92,8 @@
   });
 });
 
-// Guards against a refused request whose tokens were fetched a millisecond before: two exchanges take place
-// while it waits, and the second returns all tokens above the target.
+// Guards against a refused request whose tokens were fetched a millisecond before: two exchanges
+// take place while it waits, and the second returns all tokens above the target.
 describe('tokens that a request waits for', () => {
   const cases = [
     { name: 'are kept while it waits', waits: true },
@@ -124,8 +126,8 @@
     assert.ok(holder.reserve('shop', 7_000));
   });
 
-  // Guards against a refused request although many tokens are left: the instance was four tokens short, and
-  // the report did not request so few.
+  // Guards against a refused request although many tokens are left: the instance was four tokens
+  // short, and the report did not request so few.
   test('are fetched even if only a few are missing', () => {
     const { holder, page } = start();
     const amount = Math.ceil(1.05 * holder.free('shop'));
@@ -163,8 +165,8 @@
   assert.equal(left.accounts.shop.inDoubt, 0);
 });
 
-// Guards against half of the lent tokens being at instances that a refused caller used only once: its one
-// request was extrapolated to a steady demand.
+// Guards against half of the lent tokens being at instances that a refused caller used only once:
+// its one request was extrapolated to a steady demand.
 describe("the demand after an account's only request, with 'pass-by'", () => {
   const cases = [
     { name: 'is one request per time constant after a long observation', observedMs: 20_000 },
@@ -182,8 +184,8 @@
   }
 });
 
-// Guards against a refused second request during an outage: the account's first request here was averaged
-// over a long time before it.
+// Guards against a refused second request during an outage: the account's first request here was
+// averaged over a long time before it.
 test("the demand with 'stay' is averaged from the account's first request", () => {
   const holder = createHolder('stay');
   for (let at = 0; at <= 20_000; at += 500) holder.observe('steady', 1_000, at);
--- a/test/prepaid/prepaidPage.test.ts
+++ b/test/prepaid/prepaidPage.test.ts
@@ -61,8 +61,8 @@
       expected: { held: 250, spent: 150, inDoubt: 0, undealt: 600, remaining: 850 },
     },
     {
-      // The process was killed between two reports and may have spent its tokens, so neither its successor
-      // nor another instance may get them.
+      // The process was killed between two reports and may have spent its tokens, so neither its
+      // successor nor another instance may get them.
       name: 'charges the tokens of a killed process',
       reports: [report('a', 1, { wants: 400 }), report('a', 1, { wants: 100 }, 'a-2')],
       expected: { held: 100, spent: 0, inDoubt: 400, undealt: 500, remaining: 600 },
@@ -102,17 +102,17 @@
   assert.equal(hasReport(page, report('a', 3, {}, 'a-2')), false);
 });
 
-// Guards against refused requests although most of the budget is left: the group asked for less than its
-// shortfall.
+// Guards against refused requests although most of the budget is left: the group asked for less
+// than its shortfall.
 test('lackingPrepaid returns the requested tokens that the page cannot allocate', () => {
   const page = pageOf(report('a', 1, { wants: 900 }));
-  const lacking = lackingPrepaid(page, report('b', 1, { wants: 500 }));
-  assert.deepEqual([...lacking], [['shop', 400]]);
+  const shortfalls = lackingPrepaid(page, report('b', 1, { wants: 500 }));
+  assert.deepEqual([...shortfalls], [['shop', 400]]);
   assert.equal(lackingPrepaid(page, report('b', 1, { wants: 100 })).size, 0);
 });
 
-// Guards against writers that remain after each planned replacement: the page grows without bound, and the
-// shares of the others shrink because they depend on the number of writers.
+// Guards against writers that remain after each planned replacement: the page grows without bound,
+// and the shares of the others shrink because they depend on the number of writers.
 test('a last report returns all tokens and removes the writer', () => {
   const left = { ...report('a', 2, { spent: 150 }), last: true };
   const page = pageOf(report('a', 1, { wants: 400 }), report('b', 1, {}), left);
@@ -122,8 +122,9 @@
   assert.equal(applyReport(page, left), page, 'sent again it changes nothing');
 });
 
-// Guards against a removed instance that holds its tokens for ever, and against spending that is counted
-// twice: an instance that comes back after an hour reports tokens that are already charged as in doubt.
+// Guards against a removed instance that holds its tokens for ever, and against spending that is
+// counted twice: an instance that comes back after an hour reports tokens that are already charged
+// as in doubt.
 describe('a writer that was dropped', () => {
   const before = pageOf(report('a', 1, { wants: 400 }), report('b', 1, { wants: 100 }));
   const page = dropWriter(before, 'a');
--- a/test/prepaid/prepaidSizing.test.ts
+++ b/test/prepaid/prepaidSizing.test.ts
@@ -18,8 +18,8 @@
   unallocatedRequests: 2,
 });
 
-// Guards against callers refused with 503 during an outage although most of the budget is left: all their
-// calls arrive at one instance, and the tokens were allocated evenly to all seven.
+// Guards against callers refused with 503 during an outage although most of the budget is left: all
+// their calls arrive at one instance, and the tokens were allocated evenly to all seven.
 describe('PrepaidSizing.level', () => {
   const cases = [
     {
@@ -47,8 +47,8 @@
       to: 10_000,
     },
     {
-      // Guards against the last tokens being split over seven instances, each of which refuses requests that
-      // all together could cover.
+      // Guards against the last tokens being split over seven instances, each of which refuses
+      // requests that all together could cover.
       name: 'is 0 if the remaining tokens cannot cover typical requests at all instances',
       change: { remaining: 40_000 },
       from: 0,
@@ -74,8 +74,8 @@
   assert.ok(ofMean(40_000) < 1.3, `large: ${String(ofMean(40_000))}`);
 });
 
-// Guards against callers refused for the rest of the day: all instances were killed twice, and each time
-// half of the remaining budget was in doubt.
+// Guards against callers refused for the rest of the day: all instances were killed twice, and each
+// time half of the remaining budget was in doubt.
 test('two losses of all instances leave more than 35 % of the budget', () => {
   const heldByAll = (remaining: number): number =>
     7 * sizing.level({ ...usual, fleetRate: 200_000, rate: 200_000 / 7, remaining });
@@ -84,8 +84,8 @@
   assert.ok(1_000_000 - first - second > 350_000, `lost ${String(first)} and ${String(second)}`);
 });
 
-// Guards against callers refused for the rest of the day: all instances lost power when the budget would
-// have lasted for another half minute, and half of it was in doubt.
+// Guards against callers refused for the rest of the day: all instances lost power when the budget
+// would have lasted for another half minute, and half of it was in doubt.
 describe('a loss of all instances leaves the demand of the ride-through time', () => {
   const rates = [14_000, 9_000, 2_000, 500, 0, 0, 0];
   const fleetRate = rates.reduce((sum, rate) => sum + rate, 0);
@@ -104,8 +104,8 @@
   assert.ok(level >= 10 * usual.rate, `level ${String(level)}`);
 });
 
-// Guards against too few tokens after a loss of all instances: tokens that borrowers had spent and not yet
-// reported were allocated a second time.
+// Guards against too few tokens after a loss of all instances: tokens that borrowers had spent and
+// not yet reported were allocated a second time.
 test('keptSeconds can keep more unallocated than rideThroughSeconds', () => {
   const keptSeconds = 15;
   const keeping = new PrepaidSizing({ rideThroughSeconds: 10, keptSeconds });
--- a/test/prepaid/prepaidWorld.test.ts
+++ b/test/prepaid/prepaidWorld.test.ts
@@ -34,8 +34,8 @@
 const LENGTH = { minLength: 40, maxLength: 120, size: 'max' } as const;
 
 /**
- * Result of a write: applied and confirmed, applied with a lost reply, not applied, or applied later if
- * its condition still holds.
+ * Result of a write: applied and confirmed, applied with a lost reply, not applied, or applied
+ * later if its condition still holds.
  */
 type WriteResult = 'confirmed' | 'lost' | 'not-done' | 'late';
 
@@ -153,9 +153,9 @@
       const account = value.accounts[ACCOUNT];
       if (!account) return 0;
       const held = Object.values(account.shares).reduce((total, share) => total + share.held, 0);
-      const dealt = account.spent + account.inDoubt + held + account.returned;
+      const allocated = account.spent + account.inDoubt + held + account.returned;
       const { granted = 0, returned = 0 } = grants[String(group)] ?? {};
-      return Math.max(account.granted - granted, dealt - granted, returned - account.returned);
+      return Math.max(account.granted - granted, allocated - granted, returned - account.returned);
     });
     const all = Object.values(grants).reduce((total, grant) => {
       return total + grant.granted - grant.returned;
@@ -243,7 +243,9 @@
     return this.pages[Number(groupOf(at))];
   }
 
-  /** Counts running requests at their maximum, the worst case. The successor starts without tokens. */
+  /**
+   * Counts running requests at their maximum, the worst case. The successor starts without tokens.
+   */
   #kill(at: number): void {
     for (const { amount } of this.#running[at] ?? []) this.spent += amount;
     this.#running[at] = [];
@@ -333,8 +335,8 @@
   );
 }
 
-// Guards against an exceeded budget: an instance spends while disconnected, its report is applied seconds
-// after it timed out, or it is killed and its successor starts again.
+// Guards against an exceeded budget: an instance spends while disconnected, its report is applied
+// seconds after it timed out, or it is killed and its successor starts again.
 const sizes = [
   { name: 'few large requests', max: 8_000 },
   // Most of a grant is unallocated here, and groups return tokens and are granted them again.
