--- a/packages/core/src/runtime/prepaid/loanBook.ts
+++ b/packages/core/src/runtime/prepaid/loanBook.ts
@@ -178,7 +178,7 @@
    */
   dropSilent(silentMs: number, now: EpochMs): string[] {
     const silent = [...this.#borrowers].filter(
-      ([, { reportedAt: heardAt }]) => now - heardAt >= silentMs,
+      ([, { reportedAt }]) => now - reportedAt >= silentMs,
     );
     for (const [name, borrower] of silent) this.#chargeBorrower(name, borrower);
     return silent.map(([name]) => name);
--- a/packages/core/src/runtime/prepaid/prepaidHolder.ts
+++ b/packages/core/src/runtime/prepaid/prepaidHolder.ts
@@ -46,8 +46,8 @@
 
 /**
  * Expected behaviour of callers that send requests to an instance that has not seen their account
- * before. If an account's callers use few instances, they mostly stay. If there are many instances,
- * the callers were more likely refused elsewhere, and move on to another instance.
+ * before. At one of few instances, they mostly stay. At one of many, they were more likely refused
+ * by another instance, and move on.
  */
 export type Newcomers = 'stay' | 'pass-by';
 
