--- a/packages/core/src/runtime/prepaid/prepaidBudgets.ts
+++ b/packages/core/src/runtime/prepaid/prepaidBudgets.ts
@@ -14,9 +14,9 @@
 export type PrepaidLimits = ReadonlyMap<AccountId, Tokens>;
 
 /**
- * Divisor of a group's even share of the ungranted tokens: each grant is the share divided
- * by it, so that the first group to ask does not take everything. With one group, each grant is
- * half of the ungranted tokens, so a budget is used up in about ten grants.
+ * Each grant is a group's even share of the ungranted tokens divided by this number, so that the
+ * first group to ask does not take everything. With one group, each grant is half of the ungranted
+ * tokens, so a budget is used up in about ten grants.
  */
 const GRANT_DIVISOR = 2;
 
@@ -28,8 +28,8 @@
 const LOW_GRANT_FRACTION = 0.5;
 
 /**
- * Fraction of a group's even part of the limit. A smaller surplus is not returned, because each
- * return costs a call to the store.
+ * Minimum surplus to return, as a fraction of a group's even part of the limit. Each return costs a
+ * call to the store.
  */
 const MIN_RETURN_FRACTION = 0.05;
 
--- a/packages/core/src/runtime/prepaid/prepaidSizing.ts
+++ b/packages/core/src/runtime/prepaid/prepaidSizing.ts
@@ -31,8 +31,9 @@
   /**
    * Demand of all instances that is not allocated, in seconds. If all instances are killed at once,
    * the tokens that they hold are in doubt, and the unallocated tokens then last as long as the
-   * held tokens would have. Add the time for which spending may be unreported. @default
-   * rideThroughSeconds
+   * held tokens would have. Add the time for which spending may be unreported.
+   *
+   * @default rideThroughSeconds
    */
   keptSeconds?: number;
   /**
