--- a/packages/gateway/src/node/contact.ts
+++ b/packages/gateway/src/node/contact.ts
@@ -1,16 +1,16 @@
-/** What this instance knows of its contact with another party, with a line for each change. */
+/** Tracks whether another party answers this instance, and logs each change. */
 
 import type { EventFields, EventName } from '@flamingocourse/kernel';
 import type { GatewayContext } from '../types/context.js';
 
-/** Events that tell of a contact. */
+/** Log events for the two changes. */
 export interface ContactEvents {
   lost: EventName;
   regained: EventName;
 }
 
 /**
- * Contact with one party.
+ * Tracks whether one party answers.
  *
  * @example
  * const events = { lost: 'lender-lost', regained: 'lender-regained' } as const;
@@ -21,34 +21,34 @@
   readonly #context: GatewayContext;
   readonly #events: ContactEvents;
   readonly #fields: EventFields;
-  #lostAt: number | undefined;
-  #heardAt = -Infinity;
+  #unreachableSince: number | undefined;
+  #answeredAt = -Infinity;
 
-  /** @param fields of each line, such as the name of the party. */
+  /** @param fields fields of each log line, such as the name of the party. */
   constructor(context: GatewayContext, events: ContactEvents, fields: EventFields) {
     this.#context = context;
     this.#events = events;
     this.#fields = fields;
   }
 
-  /** Whether the last word was that the party does not answer. */
+  /** Whether the last call to the party failed. */
   get isLost(): boolean {
-    return this.#lostAt !== undefined;
+    return this.#unreachableSince !== undefined;
   }
 
-  /** Milliseconds since it was last heard; infinite before the first word. */
+  /** Milliseconds since the last answer; infinite before the first one. */
   ageMs(now: number): number {
-    return now - this.#heardAt;
+    return now - this.#answeredAt;
   }
 
-  /** It answered. */
+  /** Records an answer; logs `regained` if the party was lost. */
   heard(fields: EventFields = {}): void {
     const now = this.#context.clock.now();
     const silentMs = this.#silentMs(now);
-    this.#heardAt = now;
-    if (this.#lostAt === undefined) return;
-    const lostMs = Math.round(now - this.#lostAt);
-    this.#lostAt = undefined;
+    this.#answeredAt = now;
+    if (this.#unreachableSince === undefined) return;
+    const lostMs = Math.round(now - this.#unreachableSince);
+    this.#unreachableSince = undefined;
     this.#context.log.write(this.#events.regained, {
       ...this.#fields,
       silentMs,
@@ -57,16 +57,16 @@
     });
   }
 
-  /** It did not answer, or not usefully. */
+  /** Records a missing or unusable answer; logs `lost` if the party was not lost yet. */
   lose(reason: string, fields: EventFields = {}): void {
-    if (this.#lostAt !== undefined) return;
+    if (this.#unreachableSince !== undefined) return;
     const now = this.#context.clock.now();
-    this.#lostAt = now;
+    this.#unreachableSince = now;
     const silentMs = this.#silentMs(now);
     this.#context.log.write(this.#events.lost, { ...this.#fields, reason, silentMs, ...fields });
   }
 
-  /** For the log; undefined before the first word. */
+  /** Milliseconds since the last answer, for the log; undefined before the first one. */
   #silentMs(now: number): number | undefined {
     const ageMs = this.ageMs(now);
     return Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
--- a/packages/gateway/src/node/keptCauses.ts
+++ b/packages/gateway/src/node/keptCauses.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps in the store which requests end their servers. Instances tell each other sooner; this is for those that
- * start when all who knew are gone, and for those that reach the store and not their peers.
+ * Stores which requests crash backend servers. Gossip between instances is faster. The store is for instances
+ * that start after all instances that knew of a request have ended, and for instances that reach the store
+ * but not their peers.
  */
 
 import type { Fingerprint, ProvenCause } from '@flamingocourse/core';
@@ -11,91 +12,91 @@
 import { provenCauseSchema } from '../utils/causeSchema.js';
 import { StoreContact } from './storeContact.js';
 
-/** One object for each cause, named by its fingerprint. */
+/** One object per cause, named by its fingerprint. */
 const causeCollection: Collection<ProvenCause> = {
   name: 'fleet-causes',
   schema: provenCauseSchema,
 };
 
-/** Causes that are kept in the store; beyond it the oldest go. */
-const MAX_KEPT = 64;
-/** Milliseconds between tries while the store is away. */
-const AWAY_RETRY_MS = 1_000;
-/** Errors after which the same call may succeed. */
-const passingCodes: readonly PlatformErrorCode[] = ['unreachable', 'throttled'];
-/** Least milliseconds between two looks. */
-const LOOK_MS = 1_000;
+/** Maximum number of stored causes. The oldest are removed beyond it. */
+const MAX_STORED_CAUSES = 64;
+/** Milliseconds between attempts while the store is unreachable. */
+const UNREACHABLE_RETRY_MS = 1_000;
+/** Errors after which a retry may succeed. */
+const retryableCodes: readonly PlatformErrorCode[] = ['unreachable', 'throttled'];
+/** Minimum milliseconds between two reads by `refresh`. */
+const MIN_REFRESH_MS = 1_000;
 
 /**
- * Registered as `causes`.
+ * Service that stores causes. Registered as `causes`.
  *
  * @example
  * causes.onCause((cause) => suspect(cause));
- * causes.keep({ fingerprint, servers });
+ * causes.save({ fingerprint, servers });
  */
 export class KeptCauses extends Service {
   override readonly name = 'causes';
   readonly #context: GatewayContext;
-  readonly #contact: StoreContact;
+  readonly #reachability: StoreContact;
   readonly #listeners: ((cause: ProvenCause) => void)[] = [];
-  /** Version of each cause's object, where it is known. */
+  /** Known versions of the stored objects. */
   readonly #versions = new Map<Fingerprint, string>();
-  readonly #writing = new Set<Fingerprint>();
-  #lookedAt = -Infinity;
+  readonly #creating = new Set<Fingerprint>();
+  #readAt = -Infinity;
   #stopped = false;
 
   constructor(context: GatewayContext) {
     super();
     this.#context = context;
-    this.#contact = new StoreContact(context, this.name);
+    this.#reachability = new StoreContact(context, this.name);
   }
 
-  /** Calls back with each cause that is found in the store. */
+  /** Calls the listener with each cause that is read from the store. */
   onCause(listener: (cause: ProvenCause) => void): void {
     this.#listeners.push(listener);
   }
 
   override start(): void {
-    void this.#lookUntilRead();
+    void this.#readWithRetries();
   }
 
   override stop(): void {
     this.#stopped = true;
   }
 
-  /** Writes a cause down, as soon as the store takes it. */
-  keep(cause: ProvenCause): void {
+  /** Stores a cause; retries while the store is unreachable or throttles. */
+  save(cause: ProvenCause): void {
     const { fingerprint } = cause;
-    if (this.#versions.has(fingerprint) || this.#writing.has(fingerprint)) return;
-    this.#writing.add(fingerprint);
-    void this.#create(cause).finally(() => this.#writing.delete(fingerprint));
+    if (this.#versions.has(fingerprint) || this.#creating.has(fingerprint)) return;
+    this.#creating.add(fingerprint);
+    void this.#create(cause).finally(() => this.#creating.delete(fingerprint));
   }
 
-  /** Takes a request out that is no cause after all. */
-  forget(fingerprint: Fingerprint): void {
+  /** Removes a request that turned out not to be a cause. */
+  remove(fingerprint: Fingerprint): void {
     const version = this.#versions.get(fingerprint);
     if (version === undefined) return;
     this.#versions.delete(fingerprint);
-    void this.#remove(nameOf(fingerprint), version);
+    void this.#removeObject(nameOf(fingerprint), version);
   }
 
-  /** Looks what others have written, if that was not done just now. */
-  look(): void {
-    if (this.#now() - this.#lookedAt >= LOOK_MS) void this.#read();
+  /** Reads the causes that others have stored, unless the last read is recent. */
+  refresh(): void {
+    if (this.#now() - this.#readAt >= MIN_REFRESH_MS) void this.#read();
   }
 
-  async #lookUntilRead(): Promise<void> {
-    while (!this.#stopped && (await this.#read()) === 'away') await delay(AWAY_RETRY_MS);
+  async #readWithRetries(): Promise<void> {
+    while (!this.#stopped && (await this.#read()) === 'away') await delay(UNREACHABLE_RETRY_MS);
   }
 
   async #read(): Promise<'read' | 'away'> {
-    this.#lookedAt = this.#now();
+    this.#readAt = this.#now();
     const list = await this.#context.store.list(causeCollection);
     if (list.isErr) {
-      this.#contact.lose(list.error.message);
+      this.#reachability.lose(list.error.message);
       return 'away';
     }
-    this.#contact.heard();
+    this.#reachability.heard();
     const { items } = list.value;
     for (const { value, version } of items) {
       this.#versions.set(value.fingerprint, version);
@@ -114,25 +115,28 @@
         return;
       }
       if (created.error.code === 'exists') return;
-      this.#contact.lose(created.error.message, { fingerprint: cause.fingerprint });
-      if (!passingCodes.includes(created.error.code)) return;
-      await delay(AWAY_RETRY_MS);
+      this.#reachability.lose(created.error.message, { fingerprint: cause.fingerprint });
+      if (!retryableCodes.includes(created.error.code)) return;
+      await delay(UNREACHABLE_RETRY_MS);
     }
   }
 
-  /** Any instance may do it, also several at once: an object is removed in the version that was seen. */
+  /**
+   * Any instance may do this, and several may at once: a removal names the version that was read, so it
+   * cannot remove a newer object.
+   */
   async #removeOldest(items: readonly VersionedObject<ProvenCause>[]): Promise<void> {
     const byAge = items.toSorted((a, b) => Number(a.version) - Number(b.version));
-    for (const { name, version } of byAge.slice(0, Math.max(0, items.length - MAX_KEPT))) {
-      await this.#remove(name, version);
+    for (const { name, version } of byAge.slice(0, Math.max(0, items.length - MAX_STORED_CAUSES))) {
+      await this.#removeObject(name, version);
     }
   }
 
-  async #remove(name: string, version: string): Promise<void> {
+  async #removeObject(name: string, version: string): Promise<void> {
     const removed = await this.#context.store.remove(causeCollection, name, version);
     if (removed.isOk || ['not-found', 'conflict'].includes(removed.error.code)) return;
-    // the next one that finishes, or reads, tries again.
-    this.#contact.lose(removed.error.message, { cause: name });
+    // the next removal or read tries again.
+    this.#reachability.lose(removed.error.message, { cause: name });
   }
 
   #now(): number {
@@ -140,7 +144,7 @@
   }
 }
 
-/** A fingerprint may hold characters that have a meaning in a path. */
+/** Hex-encodes a fingerprint, because it may contain characters with a meaning in a path. */
 function nameOf(fingerprint: Fingerprint): string {
   return Buffer.from(fingerprint).toString('hex');
 }
--- a/packages/gateway/src/node/lenders.ts
+++ b/packages/gateway/src/node/lenders.ts
@@ -1,4 +1,4 @@
-/** The instances that lend tokens to this one. */
+/** The instances that lend tokens to this instance. */
 
 import type { AccountId, FleetInstance, PrepaidHolder } from '@flamingocourse/core';
 import type { GatewayContext } from '../types/context.js';
@@ -6,23 +6,23 @@
 import { orderSpenders } from '@flamingocourse/core';
 import { LoanTokens } from './loanTokens.js';
 
-/** Lenders that an instance turns to one after the other before it takes itself as cut off. */
-const MOST_LENDERS = 4;
+/** Number of lenders that an instance tries in turn before it considers itself cut off. */
+const MAX_LENDERS = 4;
 
-/** What the lenders of an instance are created with. */
+/** Options of {@link Lenders}. */
 export interface LendersOptions {
   context: GatewayContext;
   calls: LoanCalls;
-  /** Creates a holder for one life of the loans of a lender. */
+  /** Creates a holder for the loans of one lender process. */
   createHolder: (name: string) => PrepaidHolder;
-  /** Called when a lender does not answer, or stops. */
-  onLost: () => void;
+  /** Called when a lender does not answer or is stopping. */
+  onUnavailable: () => void;
   /** Called when a lender answers again. */
-  onRegained: () => void;
+  onReachable: () => void;
 }
 
 /**
- * Lenders in use, and those of which something is held still.
+ * Lenders in use, and former lenders whose tokens are still held.
  *
  * @example
  * lenders.use(chooseSpenders(all, dataCentre), rankSpenders(all, dataCentre));
@@ -30,90 +30,97 @@
  */
 export class Lenders {
   readonly #options: LendersOptions;
-  /** By name. */
+  /** Loans by the name of the lender. */
   readonly #loans = new Map<string, LoanTokens>();
-  #used: FleetInstance[] = [];
+  #inUse: FleetInstance[] = [];
 
   constructor(options: LendersOptions) {
     this.#options = options;
   }
 
-  /** All of which something may be held. */
+  /** The loans of all lenders, including lenders no longer in use. */
   get all(): LoanTokens[] {
     return [...this.#loans.values()];
   }
 
-  /** Whether none of those in use answers. */
-  get areLost(): boolean {
-    return this.#used.every(({ name }) => this.#loans.get(name)?.isLost ?? true);
+  /** Whether none of the lenders in use answers. */
+  get areUnreachable(): boolean {
+    return this.#inUse.every(({ name }) => this.#loans.get(name)?.isUnreachable ?? true);
   }
 
-  /** Whom to ask for tokens of an account, in this order. */
+  /** The lenders to ask for tokens of an account, in this order. */
   inOrder(account: AccountId): LoanTokens[] {
-    return orderSpenders(this.#used, account).flatMap(({ name }) => this.#loans.get(name) ?? []);
+    return orderSpenders(this.#inUse, account).flatMap(({ name }) => this.#loans.get(name) ?? []);
   }
 
   /**
-   * Borrows from the spenders, and as long as none of them answers from those that follow them.
+   * Borrows from the listed lenders. While none of them answers, also borrows from the next instance in the ranking.
    *
-   * @param ranked all instances that could be spenders, the likeliest first.
+   * @param ranked all instances that could be lenders, the most preferred first.
    */
-  use(spenders: readonly FleetInstance[], ranked: readonly FleetInstance[]): void {
+  use(listed: readonly FleetInstance[], ranked: readonly FleetInstance[]): void {
     const { instance } = this.#options.context.settings;
-    const others = ranked.filter(({ name }) => name !== instance).slice(0, MOST_LENDERS);
-    const staying = spenders.filter(({ name }) => !this.#loans.get(name)?.isStopping);
-    const isReached = staying.some(({ name }) => !this.#loans.get(name)?.isLost);
+    const others = ranked.filter(({ name }) => name !== instance).slice(0, MAX_LENDERS);
+    const staying = listed.filter(({ name }) => !this.#loans.get(name)?.isStopping);
+    const isReached = staying.some(({ name }) => !this.#loans.get(name)?.isUnreachable);
     const next = isReached ? undefined : others.find((other) => this.#mayAnswer(other));
-    this.#used = next ? [...staying, next] : staying;
-    for (const lender of this.#used) this.#ensure(lender);
+    this.#inUse = next ? [...staying, next] : staying;
+    for (const lender of this.#inUse) this.#startLoans(lender);
     this.#dropEmpty();
   }
 
-  /** Borrows from nobody any more; what is held is spent or given back. */
+  /** Stops borrowing. Tokens that are still held are spent or returned. */
   release(): void {
-    this.#used = [];
+    this.#inUse = [];
     this.#dropEmpty();
   }
 
-  /** Gives everything back. */
+  /** Returns all tokens. */
   async stop(): Promise<void> {
     await Promise.all(this.all.map((loans) => loans.stop()));
   }
 
   #mayAnswer({ name }: FleetInstance): boolean {
     const loans = this.#loans.get(name);
-    return !loans || (!loans.isLost && !loans.isStopping);
+    return !loans || (!loans.isUnreachable && !loans.isStopping);
   }
 
-  #ensure(lender: FleetInstance): void {
+  #startLoans(lender: FleetInstance): void {
     const known = this.#loans.get(lender.name);
     if (known?.url === lender.meshUrl) return;
-    // it moved: as another process, it does not know these loans; they are charged there in time.
+    // the address changed, so this is another process that does not know these loans. The lender's side
+    // charges them to the budget after a while.
     void known?.stop();
-    const { context, calls, createHolder, onLost, onRegained } = this.#options;
+    const {
+      context,
+      calls,
+      createHolder,
+      onUnavailable: onLost,
+      onReachable: onRegained,
+    } = this.#options;
     const loans = new LoanTokens({
       context,
       lender,
       calls,
       createHolder: (life) => createHolder(`${lender.name}-${life}`),
-      isAskedFor: (account) => this.#isAskedFor(lender, account),
-      onLost,
-      onRegained,
+      isPreferredFor: (account) => this.#isPreferredFor(lender, account),
+      onUnavailable: onLost,
+      onReachable: onRegained,
     });
     this.#loans.set(lender.name, loans);
     loans.start();
   }
 
-  /** Whether a lender is the one that an account's tokens are asked of. */
-  #isAskedFor({ name }: FleetInstance, account: AccountId): boolean {
+  /** Whether a lender is the one to ask for tokens of an account. */
+  #isPreferredFor({ name }: FleetInstance, account: AccountId): boolean {
     const inOrder = this.inOrder(account);
-    const first = inOrder.find(({ isLost }) => !isLost) ?? inOrder[0];
+    const first = inOrder.find(({ isUnreachable: isLost }) => !isLost) ?? inOrder[0];
     return first?.name === name;
   }
 
   #dropEmpty(): void {
     for (const [name, loans] of this.#loans) {
-      const isUsed = this.#used.some((lender) => lender.name === name);
+      const isUsed = this.#inUse.some((lender) => lender.name === name);
       if (isUsed || !loans.isEmpty) continue;
       this.#loans.delete(name);
       void loans.stop();
--- a/packages/gateway/src/node/loanDesk.ts
+++ b/packages/gateway/src/node/loanDesk.ts
@@ -1,4 +1,4 @@
-/** Lends rights of this instance to the other instances of its data centre. */
+/** Lends tokens of this instance to the other instances of its data centre. */
 
 import type {
   AccountId,
@@ -14,63 +14,65 @@
 import { LoanBook, demandSpread } from '@flamingocourse/core';
 import { startTimeLimit } from '@flamingocourse/kernel';
 
-/** Milliseconds for which a borrower waits while tokens are fetched for it; its call has a limit of its own. */
+/** Milliseconds that a borrower waits while tokens are fetched for it; its call has its own timeout. */
 const LEND_WAIT_MS = 180;
 /**
- * Requests of an account that each instance expects in the time that it may be cut off, on average, above
- * which it holds tokens before the first has come.
+ * Average number of requests of an account that each instance expects during `rideThroughSeconds`. Above
+ * this number, an instance holds tokens for the account before its first request.
  */
-const LEAST_EXPECTED = 0.1;
+const MIN_EXPECTED_REQUESTS = 0.1;
 
-/** What a desk lends by. */
-export interface LoanDeskOptions {
+/** Options of {@link LoanRequestHandler}. */
+export interface LoanRequestHandlerOptions {
   context: GatewayContext;
   holder: PrepaidHolder;
-  /** Limit of an account by the configuration in force; infinite where it has none. */
+  /** Limit of an account in the active configuration; infinite if it has none. */
   limitOf: (account: AccountId) => Tokens;
 }
 
 /**
- * Answers borrowers.
+ * Answers the loan requests of borrowers.
  *
  * @example
- * const desk = new LoanDesk({ context, holder, limitOf });
- * const answer = await desk.lend(request, tokens);
+ * const handler = new LoanRequestHandler({ context, holder, limitOf });
+ * const answer = await handler.lend(request, tokens);
  */
-export class LoanDesk {
+export class LoanRequestHandler {
   readonly book: LoanBook;
-  readonly #options: LoanDeskOptions;
+  readonly #options: LoanRequestHandlerOptions;
 
-  constructor(options: LoanDeskOptions) {
+  constructor(options: LoanRequestHandlerOptions) {
     this.#options = options;
     this.book = new LoanBook(options.holder);
   }
 
   /**
-   * Lends what is free, and what the store has where requests of the borrower wait for it.
+   * Lends free tokens, and fetches more from the store if requests at the borrower wait for them.
    *
-   * @param tokens the rights that are lent of.
+   * @param tokens the tokens of this instance.
    */
   async lend(request: LoanRequest, tokens: StoreTokens): Promise<LoanAnswer> {
     const { report, urgent, lender } = request;
     const { life } = this.book;
     if (lender !== undefined && lender !== life) return { type: 'forgotten', lender: life };
     const end = this.book.take(report, urgent, this.#now());
-    this.#logLost();
+    this.#logChargedLoans();
     if (end === 'forgotten') return { type: 'forgotten', lender: life };
     if (request.typicalRequest > 0) this.#options.holder.observeSize(request.typicalRequest);
-    const lacking = this.book.lacking(report, urgent);
-    await fetchLacking(lacking, tokens);
+    const shortfalls = this.book.lacking(report, urgent);
+    await fetchShortfalls(shortfalls, tokens);
     if (this.book.life !== life) return { type: 'forgotten', lender: this.book.life };
-    this.book.lendLacking(report, lacking);
+    this.book.lendLacking(report, shortfalls);
     return this.#answer(request, life, tokens);
   }
 
-  /** Gives up the loans of borrowers that were silent for so long that they are lost; returns their names. */
-  dropLost(): string[] {
+  /**
+   * Drops borrowers that have not reported for `silentMs` and charges their loans. Returns their names.
+   */
+  dropLostBorrowers(): string[] {
     const { silentMs } = this.#options.context.settings.prepaid;
     const lost = this.book.dropSilent(silentMs, this.#now());
-    this.#logLost();
+    this.#logChargedLoans();
     return lost;
   }
 
@@ -86,11 +88,11 @@
     return { type: 'lent', lender, instances, fetchers, isStopping, accounts };
   }
 
-  /** Accounts that callers may ask any instance for, though they have not come to it yet. */
+  /** Accounts whose requests may arrive at any instance, even if the borrower has had none yet. */
   #widelyUsed({ accounts, instances }: PrepaidView): AccountId[] {
     const { context, holder } = this.#options;
     const { rideThroughSeconds } = context.settings.prepaid;
-    const least = LEAST_EXPECTED * holder.typicalRequest * instances;
+    const least = MIN_EXPECTED_REQUESTS * holder.typicalRequest * instances;
     const now = this.#now();
     return [...accounts].flatMap(([account, { othersRate }]) => {
       const fleetRate = othersRate + holder.rate(account, now);
@@ -121,7 +123,7 @@
     };
   }
 
-  #logLost(): void {
+  #logChargedLoans(): void {
     const { log } = this.#options.context;
     for (const lost of this.book.takeLost()) log.write('prepaid-loans-charged', { ...lost });
   }
@@ -131,12 +133,12 @@
   }
 }
 
-/** Fetches what a borrower lacks where that may help, but no longer than it waits. */
-async function fetchLacking(
-  lacking: ReadonlyMap<AccountId, Tokens>,
+/** Fetches missing tokens for a borrower if the store may have some, for no longer than the borrower waits. */
+async function fetchShortfalls(
+  shortfalls: ReadonlyMap<AccountId, Tokens>,
   tokens: StoreTokens,
 ): Promise<void> {
-  const useful = [...lacking].filter(([account, amount]) => {
+  const useful = [...shortfalls].filter(([account, amount]) => {
     return tokens.fetchOutlook(account, amount) === 'may-help';
   });
   if (useful.length === 0) return;
--- a/packages/gateway/src/node/loanTokens.ts
+++ b/packages/gateway/src/node/loanTokens.ts
@@ -1,4 +1,4 @@
-/** Tokens that one lender of this data centre has lent to this instance. */
+/** Tokens that one lender of the same data centre has lent to this instance. */
 
 import type {
   AccountId,
@@ -22,9 +22,9 @@
 import { TokenSource } from '../types/tokenSource.js';
 import { Contact } from './contact.js';
 
-/** Milliseconds for which a lender that had too few tokens is not asked for as many again. */
-const SHORT_MS = 250;
-/** Milliseconds until a lender that does not answer is tried again, at first and at most. */
+/** Milliseconds for which an answer with too few tokens is trusted; the lender is not asked again meanwhile. */
+const SHORTAGE_TRUST_MS = 250;
+/** First and longest delay in milliseconds before an unresponsive lender is retried. */
 const FIRST_RETRY_MS = 200;
 const MAX_RETRY_MS = 1_600;
 
@@ -32,29 +32,29 @@
 
 const NOTHING_KNOWN: PrepaidAccountView = { remaining: 0, othersRate: 0 };
 
-/** What the tokens of a lender are created with. */
+/** Options of {@link LoanTokens}. */
 export interface LoanTokensOptions {
   context: GatewayContext;
   lender: FleetInstance;
   calls: LoanCalls;
-  /** Creates a holder for one life of the loans. */
+  /** Creates a holder for the loans of one lender process. */
   createHolder: (life: string) => PrepaidHolder;
-  /** Whether this lender is the one that an account's tokens are asked of. */
-  isAskedFor: (account: AccountId) => boolean;
-  /** Called when the lender does not answer, or stops. */
-  onLost: () => void;
+  /** Whether this lender is the one to ask for tokens of an account. */
+  isPreferredFor: (account: AccountId) => boolean;
+  /** Called when the lender does not answer or is stopping. */
+  onUnavailable: () => void;
   /** Called when the lender answers again. */
-  onRegained: () => void;
+  onReachable: () => void;
 }
 
-/** What the lender last said of an account. */
+/** The lender's last statement about an account. */
 interface KnownAccount extends LoanAccount {
-  heardAt: EpochMs;
+  receivedAt: EpochMs;
 }
 
 /**
- * Loans of one lender. Each report tells it what was spent, gives back what is not needed and asks for
- * more; the lender's answer says what is held from then on.
+ * Loans of one lender. Each report contains the spent tokens, returns unneeded tokens and asks for more. The
+ * lender's answer says which tokens this instance holds from then on.
  *
  * @example
  * await tokens.fetch('club-7', 9_500, signal);
@@ -62,13 +62,13 @@
  */
 export class LoanTokens extends TokenSource {
   readonly #options: LoanTokensOptions;
-  readonly #contact: Contact;
+  readonly #reachability: Contact;
   readonly #accounts = new Map<AccountId, KnownAccount>();
   #holder: PrepaidHolder;
-  /** Loans of earlier lives of the lender: charged there, so they may be spent here. */
-  #charged: PrepaidHolder[] = [];
-  #lives = 1;
-  #life: IncarnationId | undefined;
+  /** Loans that an earlier process of the lender made. They are charged to the budget, so they can be spent. */
+  #forgottenLoans: PrepaidHolder[] = [];
+  #generation = 1;
+  #lenderIncarnation: IncarnationId | undefined;
   #instances = 1;
   #fetchers = 1;
   #isStopping = false;
@@ -81,7 +81,7 @@
     super();
     this.#options = options;
     const { context, lender, createHolder } = options;
-    this.#contact = new Contact(context, LENDER_EVENTS, { lender: lender.name });
+    this.#reachability = new Contact(context, LENDER_EVENTS, { lender: lender.name });
     this.#holder = createHolder('1');
   }
 
@@ -89,37 +89,37 @@
     return this.#options.lender.name;
   }
 
-  /** Where the lender was when these loans were made. */
+  /** Address of the lender at the time of these loans. */
   get url(): string | undefined {
     return this.#options.lender.meshUrl;
   }
 
-  override get isLost(): boolean {
-    return this.#contact.isLost;
+  override get isUnreachable(): boolean {
+    return this.#reachability.isLost;
   }
 
-  /** Whether the lender said that it stops. */
+  /** Whether the lender announced that it is stopping. */
   get isStopping(): boolean {
     return this.#isStopping;
   }
 
-  /** Whether nothing is held and nothing is under way. */
+  /** Whether nothing is held and nothing remains to be reported. */
   get isEmpty(): boolean {
     const { hasRights, hasNews } = this.#holder;
-    return !hasRights && !hasNews && this.#charged.length === 0;
+    return !hasRights && !hasNews && this.#forgottenLoans.length === 0;
   }
 
-  /** Begins to report at regular times. */
+  /** Starts to report at regular intervals. */
   start(): void {
     this.#syncIn(0);
   }
 
-  /** Gives everything back; what the lender does not hear of stays charged. */
+  /** Returns all tokens. Tokens whose return does not reach the lender stay charged. */
   async stop(): Promise<void> {
     this.#stopped = true;
     clearTimeout(this.#timer);
     await this.#running;
-    if (!this.#contact.isLost) await this.#exchange(true);
+    if (!this.#reachability.isLost) await this.#exchange(true);
   }
 
   override observe(account: AccountId, amount: Tokens, now: EpochMs): void {
@@ -127,22 +127,22 @@
   }
 
   override reserve(account: AccountId, amount: Tokens): PrepaidReservation | undefined {
-    for (const holder of this.#charged) {
+    for (const holder of this.#forgottenLoans) {
       if (holder.free(account) >= amount) return holder.reserve(account, amount);
     }
     return this.#holder.reserve(account, amount);
   }
 
   override settle(reservation: PrepaidReservation, used: Tokens): boolean {
-    const holders = [this.#holder, ...this.#charged];
+    const holders = [this.#holder, ...this.#forgottenLoans];
     const holder = holders.find(({ incarnation }) => incarnation === reservation.incarnation);
     holder?.settle(reservation, used);
-    this.#charged = this.#charged.filter(({ hasRights }) => hasRights);
+    this.#forgottenLoans = this.#forgottenLoans.filter(({ hasRights }) => hasRights);
     return holder !== undefined;
   }
 
   override free(account: AccountId): Tokens {
-    const holders = [this.#holder, ...this.#charged];
+    const holders = [this.#holder, ...this.#forgottenLoans];
     return Math.max(...holders.map((holder) => holder.free(account)));
   }
 
@@ -151,16 +151,16 @@
   }
 
   override fetchOutlook(account: AccountId, amount: Tokens): FetchOutlook {
-    if (this.isLost) return 'away';
+    if (this.isUnreachable) return 'away';
     const known = this.#accounts.get(account);
-    if (!known || this.#now() - known.heardAt > SHORT_MS) return 'may-help';
+    if (!known || this.#now() - known.receivedAt > SHORTAGE_TRUST_MS) return 'may-help';
     return this.free(account) + known.available < amount ? 'short' : 'may-help';
   }
 
   override async fetch(account: AccountId, amount: Tokens, signal: AbortSignal): Promise<void> {
     const holder = this.#holder;
     holder.beginWait(account, amount);
-    // an exchange that is under way did not ask for these tokens yet.
+    // a running exchange has not asked for these tokens yet, so another one follows it.
     const exchange = (this.#running ?? Promise.resolve()).then(() => this.#sync());
     await Promise.race([exchange, aborted(signal)]).finally(() => {
       holder.endWait(account, amount);
@@ -174,7 +174,7 @@
     return {
       available: known.available,
       left: limit - known.gone - this.#holder.unreported(account),
-      ageMs: now - known.heardAt,
+      ageMs: now - known.receivedAt,
       inDoubt: undefined,
     };
   }
@@ -191,7 +191,7 @@
 
   get #pauseMs(): number {
     const { random, settings } = this.#options.context;
-    if (!this.isLost) return withReportJitter(settings.prepaid.reportMs, random);
+    if (!this.isUnreachable) return withReportJitter(settings.prepaid.reportMs, random);
     const retryMs = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** (this.#failures - 1));
     return withReportJitter(retryMs, random);
   }
@@ -209,33 +209,33 @@
     const report = holder.reportBy(this.#view(), this.#now(), last);
     if (!report) return;
     const answer = await calls.ask(lender, {
-      lender: this.#life,
+      lender: this.#lenderIncarnation,
       report,
       urgent: urgentOf(holder, report),
       typicalRequest: holder.typicalRequest,
       interest: holder.accounts,
     });
-    // the report stays pending: it may have been taken in, so the same one is sent again.
+    // the report stays pending and is sent again unchanged, because the lender may have received it.
     if (answer.isErr) this.#fail(answer.error, report);
-    else this.#take(answer.value, report);
+    else this.#applyAnswer(answer.value, report);
   }
 
   #view(): PrepaidView {
-    const { isAskedFor } = this.#options;
+    const { isPreferredFor: isAskedFor } = this.#options;
     const accounts = new Map<AccountId, PrepaidAccountView>();
     for (const account of new Set([...this.#holder.accounts, ...this.#accounts.keys()])) {
       const isWanted = !this.#isStopping && isAskedFor(account);
       accounts.set(account, (isWanted ? this.#accounts.get(account) : undefined) ?? NOTHING_KNOWN);
     }
-    const isRegistered = this.#life !== undefined;
+    const isRegistered = this.#lenderIncarnation !== undefined;
     return { isRegistered, instances: this.#instances, fetchers: this.#fetchers, accounts };
   }
 
-  #take(answer: LoanAnswer, report: PrepaidReport): void {
+  #applyAnswer(answer: LoanAnswer, report: PrepaidReport): void {
     this.#failures = 0;
-    const wasLost = this.#contact.isLost;
-    this.#contact.heard();
-    if (wasLost) this.#options.onRegained();
+    const wasLost = this.#reachability.isLost;
+    this.#reachability.heard();
+    if (wasLost) this.#options.onReachable();
     if (answer.type === 'forgotten') {
       this.#renew(answer.lender);
       return;
@@ -243,12 +243,12 @@
     const now = this.#now();
     this.#holder.confirmHeld((account) => answer.accounts[account]?.held);
     for (const [account, known] of Object.entries(answer.accounts)) {
-      this.#accounts.set(account, { ...known, heardAt: now });
+      this.#accounts.set(account, { ...known, receivedAt: now });
     }
-    this.#life = answer.lender;
+    this.#lenderIncarnation = answer.lender;
     this.#instances = answer.instances;
     this.#fetchers = answer.fetchers;
-    if (answer.isStopping && !this.#isStopping) this.#leave();
+    if (answer.isStopping && !this.#isStopping) this.#returnLoans();
     this.#options.context.log.write('prepaid-borrowed', {
       lender: this.name,
       seq: report.seq,
@@ -257,30 +257,30 @@
     });
   }
 
-  /** Goes back to the beginning with a lender that does not know the loans. */
+  /** Starts again with an empty holder, because the lender's process does not know the loans. */
   #renew(life: IncarnationId): void {
     const { context, createHolder } = this.#options;
     const { heldInAll } = this.#holder;
     context.log.write('prepaid-loans-forgotten', { lender: this.name, life, held: heldInAll });
-    if (this.#holder.hasRights) this.#charged.push(this.#holder);
-    this.#lives += 1;
-    this.#holder = createHolder(String(this.#lives));
-    this.#life = undefined;
+    if (this.#holder.hasRights) this.#forgottenLoans.push(this.#holder);
+    this.#generation += 1;
+    this.#holder = createHolder(String(this.#generation));
+    this.#lenderIncarnation = undefined;
     this.#accounts.clear();
     this.#isStopping = false;
   }
 
-  /** The lender stops: what it lent goes back while it can still be taken in. */
-  #leave(): void {
+  /** The lender is stopping: returns its loans while it can still receive them. */
+  #returnLoans(): void {
     this.#isStopping = true;
     this.#syncIn(0);
-    this.#options.onLost();
+    this.#options.onUnavailable();
   }
 
   #fail(reason: string, { seq }: PrepaidReport): void {
     this.#failures += 1;
-    this.#contact.lose(reason, { seq });
-    this.#options.onLost();
+    this.#reachability.lose(reason, { seq });
+    this.#options.onUnavailable();
   }
 
   #now(): number {
--- a/packages/gateway/src/node/meshLoanCalls.ts
+++ b/packages/gateway/src/node/meshLoanCalls.ts
@@ -1,4 +1,4 @@
-/** Loan requests over the mesh. */
+/** Sends loan requests over the mesh. */
 
 import type { FleetInstance, LoanAnswer, LoanRequest } from '@flamingocourse/core';
 import type { MeshClient } from '@flamingocourse/mesh';
@@ -6,10 +6,10 @@
 import { LoanCalls } from '../types/loans.js';
 
 /**
- * Milliseconds for a call. A lender answers in one or two, and in some tens when it has to ask the store;
- * a machine that has used up its processor time stands still for up to a hundred.
+ * Timeout of a call in milliseconds. A lender answers in 1 to 2 ms, or in tens of milliseconds if it has to ask
+ * the store. A machine that has used up its CPU quota can pause for up to 100 ms.
  */
-const CALL_MS = 230;
+const CALL_TIMEOUT_MS = 230;
 
 /** Asks lenders at the address of their mesh listener. */
 export class MeshLoanCalls extends LoanCalls {
@@ -25,7 +25,9 @@
     request: LoanRequest,
   ): Promise<Result<LoanAnswer, string>> {
     if (meshUrl === undefined) return Result.err('it serves no peers');
-    const answer = await this.#mesh.call({ meshUrl }, 'borrow', request, { timeoutMs: CALL_MS });
+    const answer = await this.#mesh.call({ meshUrl }, 'borrow', request, {
+      timeoutMs: CALL_TIMEOUT_MS,
+    });
     return answer.mapErr(({ message }) => message);
   }
 }
--- a/packages/gateway/src/node/meshNewsCalls.ts
+++ b/packages/gateway/src/node/meshNewsCalls.ts
@@ -1,14 +1,14 @@
-/** News over the mesh. */
+/** Exchanges gossip messages over the mesh. */
 
 import type { FleetInstance, NewsMessage } from '@flamingocourse/core';
 import type { MeshClient } from '@flamingocourse/mesh';
 import { Result } from 'true-myth';
 import { NewsCalls } from '../types/newsCalls.js';
 
-/** Milliseconds for a call: some for the way, and a tenth of a second in which a machine may stand still. */
-const CALL_MS = 300;
+/** Timeout of a call in milliseconds. It covers the network latency and a CPU pause of 100 ms on a machine. */
+const CALL_TIMEOUT_MS = 300;
 
-/** Tells instances at the address of their mesh listener. */
+/** Sends to the address of an instance's mesh listener. */
 export class MeshNewsCalls extends NewsCalls {
   readonly #mesh: MeshClient;
 
@@ -22,7 +22,7 @@
     message: NewsMessage,
   ): Promise<Result<NewsMessage, string>> {
     if (meshUrl === undefined) return Result.err('it serves no peers');
-    const options = { timeoutMs: CALL_MS };
+    const options = { timeoutMs: CALL_TIMEOUT_MS };
     const answer = await this.#mesh.call({ meshUrl }, 'exchangeNews', message, options);
     return answer.mapErr(({ message: reason }) => reason);
   }
--- a/packages/gateway/src/node/newsService.ts
+++ b/packages/gateway/src/node/newsService.ts
@@ -1,7 +1,8 @@
 /**
- * Tells the instances of the fleet what one of them has learned. Each tells some others, which do the same, so
- * that a fleet of any size has it after a few steps without anybody in charge. From time to time each compares what
- * it knows with another one's: what was lost on the way, or missed in a cut, comes then.
+ * Spreads facts through the fleet by gossip. Each instance sends new facts to a few others, which do the same,
+ * so a fleet of any size receives them after a few rounds without a coordinator. In addition, each instance
+ * periodically exchanges its facts with a random peer (anti-entropy). This delivers facts that were lost in
+ * transit or missed during a network partition.
  */
 
 import type {
@@ -19,32 +20,32 @@
 import { Contact } from './contact.js';
 import { InstanceDirectory } from './instanceDirectory.js';
 
-/** Instances that are told at once. */
-const LISTENERS = 4;
-/** Instances of which those that lack something are told, so that the cost doesn't grow with the fleet. */
-const CANDIDATES = 32;
-/** Milliseconds in which news gather before they are told. */
-const GATHER_MS = 10;
-/** Times that some instances are told of the same news. */
-const TELLINGS = 3;
-/** Least milliseconds between two comparisons with another instance. */
-const COMPARE_MS = 1_000;
-/** Most milliseconds between them, while nothing new comes. */
-const MAX_COMPARE_MS = 30_000;
-/** Part of the time since the last news after which the next comparison is due. */
-const COMPARE_PART = 0.1;
+/** Number of peers that receive a message in each round. */
+const FANOUT = 4;
+/** Number of peers checked for missing facts in each round, so that the cost doesn't grow with the fleet. */
+const MAX_CANDIDATES = 32;
+/** Milliseconds for which new facts are collected before a round starts. */
+const BATCH_MS = 10;
+/** Number of rounds after each new fact. */
+const GOSSIP_ROUNDS = 3;
+/** Minimum milliseconds between two anti-entropy exchanges. */
+const MIN_SYNC_MS = 1_000;
+/** Maximum milliseconds between two anti-entropy exchanges, reached while there are no new facts. */
+const MAX_SYNC_MS = 30_000;
+/** The pause between anti-entropy exchanges is this fraction of the time since the newest fact. */
+const SYNC_BACKOFF_FACTOR = 0.1;
 
 const PEER_EVENTS = { lost: 'news-peer-lost', regained: 'news-peer-regained' } as const;
 
-/** What is known of another instance. */
+/** State of another instance. */
 interface Peer {
-  contact: Contact;
-  /** What it knew when it was last heard. */
+  reachability: Contact;
+  /** Versions that the peer had when it last sent a message. */
   known: NewsVersions;
 }
 
 /**
- * Registered as `news`.
+ * Gossip service. Registered as `news`.
  *
  * @example
  * news.onNews(({ news, at }) => take(news, at));
@@ -59,9 +60,9 @@
   readonly #peers = new Map<string, Peer>();
   readonly #listeners: ((news: DatedNews) => void)[] = [];
   #instances: InstanceDirectory | undefined;
-  #gathering: NodeJS.Timeout | undefined;
-  #comparing: NodeJS.Timeout | undefined;
-  #tellings = 0;
+  #gossipTimer: NodeJS.Timeout | undefined;
+  #syncTimer: NodeJS.Timeout | undefined;
+  #roundsLeft = 0;
   #isCaughtUp = false;
   #stopped = false;
 
@@ -72,107 +73,107 @@
     this.#log = new NewsLog(incarnation);
   }
 
-  /** Whether some other instance did not answer when it was last told something. */
-  get missesPeers(): boolean {
-    return [...this.#peers.values()].some(({ contact }) => contact.isLost);
+  /** Whether the last message to at least one peer got no answer. */
+  get hasUnreachablePeers(): boolean {
+    return [...this.#peers.values()].some(({ reachability: contact }) => contact.isLost);
   }
 
-  /** Calls back with what other instances found out. */
+  /** Calls the listener with each new fact from another instance. */
   onNews(listener: (news: DatedNews) => void): void {
     this.#listeners.push(listener);
   }
 
   /**
-   * Tells the others.
+   * Sends a fact to the other instances.
    *
-   * @param urgency `later` waits until there is something to tell anyway.
+   * @param urgency `later` waits for the next message that is sent for another reason.
    */
   publish(news: FleetNews, urgency: 'now' | 'later' = 'now'): void {
     this.#log.add(news, this.#now());
-    if (urgency === 'now') this.#tellSoon();
+    if (urgency === 'now') this.#startGossip();
   }
 
-  /** Answers another instance that tells its news. */
+  /** Processes a message of another instance and returns the answer. */
   hear({ from, known, items }: NewsMessage): NewsMessage {
     this.#peerOf(from).known = known;
-    this.#take(items);
+    this.#applyItems(items);
     return this.#messageFor(known);
   }
 
   override start(kernel: Kernel): void {
     this.#instances = kernel.get('instances', InstanceDirectory);
     this.#instances.onChange(() => {
-      this.#forgetPeers();
+      this.#removeGonePeers();
       if (!this.#isCaughtUp) void this.#catchUp();
     });
-    this.#compareIn(COMPARE_MS);
+    this.#scheduleSync(MIN_SYNC_MS);
   }
 
   override stop(): void {
     this.#stopped = true;
-    clearTimeout(this.#gathering);
-    clearTimeout(this.#comparing);
+    clearTimeout(this.#gossipTimer);
+    clearTimeout(this.#syncTimer);
   }
 
-  /** Instances that can be told something. */
+  /** The other instances that have a mesh address. */
   get #others(): FleetInstance[] {
     const { instance } = this.#context.settings;
     const all = this.#instances?.all ?? [];
     return all.filter(({ name, meshUrl }) => name !== instance && meshUrl !== undefined);
   }
 
-  /** A new process hears what the others know before the first news come. */
+  /** Fetches the facts known to the fleet, so that a new process does not have to wait for gossip. */
   async #catchUp(): Promise<void> {
     const ends = await Promise.all(this.#choose(this.#others).map((peer) => this.#exchange(peer)));
     this.#isCaughtUp ||= ends.includes('heard');
   }
 
-  #tellSoon(): void {
-    this.#tellings = TELLINGS;
-    this.#gather();
+  #startGossip(): void {
+    this.#roundsLeft = GOSSIP_ROUNDS;
+    this.#scheduleRound();
   }
 
-  #gather(): void {
+  #scheduleRound(): void {
     if (this.#stopped) return;
-    this.#gathering ??= setTimeout(() => {
-      this.#gathering = undefined;
-      void this.#tell();
-    }, GATHER_MS);
+    this.#gossipTimer ??= setTimeout(() => {
+      this.#gossipTimer = undefined;
+      void this.#gossip();
+    }, BATCH_MS);
   }
 
-  async #tell(): Promise<void> {
+  async #gossip(): Promise<void> {
     const now = this.#now();
-    const lacking = this.#choose(this.#others, CANDIDATES).filter(({ name }) => {
+    const outdated = this.#choose(this.#others, MAX_CANDIDATES).filter(({ name }) => {
       return this.#log.lackedBy(this.#peerOf(name).known, now).length > 0;
     });
-    const answering = lacking.filter(({ name }) => !this.#peerOf(name).contact.isLost);
-    if (lacking.length === 0 || this.#tellings === 0) return;
-    this.#tellings -= 1;
-    const chosen = this.#choose(answering.length > 0 ? answering : lacking);
+    const answering = outdated.filter(({ name }) => !this.#peerOf(name).reachability.isLost);
+    if (outdated.length === 0 || this.#roundsLeft === 0) return;
+    this.#roundsLeft -= 1;
+    const chosen = this.#choose(answering.length > 0 ? answering : outdated);
     await Promise.all(chosen.map((peer) => this.#exchange(peer)));
-    if (this.#tellings > 0) this.#gather();
+    if (this.#roundsLeft > 0) this.#scheduleRound();
   }
 
-  #choose(others: readonly FleetInstance[], count = LISTENERS): FleetInstance[] {
+  #choose(others: readonly FleetInstance[], count = FANOUT): FleetInstance[] {
     const { settings, random } = this.#context;
     return chooseListeners(others, settings.dataCentre, count, random);
   }
 
-  #compareIn(ms: number): void {
+  #scheduleSync(ms: number): void {
     const { random } = this.#context;
     if (this.#stopped) return;
-    this.#comparing = setTimeout(() => void this.#compare(), ms * (0.75 + 0.5 * random()));
+    this.#syncTimer = setTimeout(() => void this.#sync(), ms * (0.75 + 0.5 * random()));
   }
 
-  async #compare(): Promise<void> {
+  async #sync(): Promise<void> {
     const { random } = this.#context;
     const others = this.#others;
     const peer = others[Math.floor(random() * others.length)];
     if (!this.#isCaughtUp) await this.#catchUp();
     else if (peer && !this.#log.isEmpty) await this.#exchange(peer);
-    const quietMs = COMPARE_PART * (this.#now() - this.#log.newestAt);
-    const isQuiet = !this.#log.isEmpty && quietMs > COMPARE_MS;
-    this.#compareIn(isQuiet ? Math.min(MAX_COMPARE_MS, quietMs) : COMPARE_MS);
+    const quietMs = SYNC_BACKOFF_FACTOR * (this.#now() - this.#log.newestAt);
+    const isQuiet = !this.#log.isEmpty && quietMs > MIN_SYNC_MS;
+    this.#scheduleSync(isQuiet ? Math.min(MAX_SYNC_MS, quietMs) : MIN_SYNC_MS);
   }
 
   async #exchange(instance: FleetInstance): Promise<'heard' | 'silent'> {
@@ -181,12 +182,12 @@
     const answer = await this.#calls.exchange(instance, message);
     if (this.#stopped) return 'silent';
     if (answer.isErr) {
-      peer.contact.lose(answer.error, { items: message.items.length });
+      peer.reachability.lose(answer.error, { items: message.items.length });
       return 'silent';
     }
-    peer.contact.heard();
+    peer.reachability.heard();
     peer.known = answer.value.known;
-    this.#take(answer.value.items);
+    this.#applyItems(answer.value.items);
     return 'heard';
   }
 
@@ -196,22 +197,25 @@
     return { from: instance, known: this.#log.known, items };
   }
 
-  #take(items: NewsMessage['items']): void {
+  #applyItems(items: NewsMessage['items']): void {
     const news = this.#log.take(items, this.#now());
     if (news.length === 0) return;
     for (const each of news) for (const listener of this.#listeners) listener(each);
-    this.#tellSoon();
+    this.#startGossip();
   }
 
   #peerOf(name: string): Peer {
     const known = this.#peers.get(name);
     if (known) return known;
-    const created = { contact: new Contact(this.#context, PEER_EVENTS, { peer: name }), known: {} };
+    const created = {
+      reachability: new Contact(this.#context, PEER_EVENTS, { peer: name }),
+      known: {},
+    };
     this.#peers.set(name, created);
     return created;
   }
 
-  #forgetPeers(): void {
+  #removeGonePeers(): void {
     const names = new Set(this.#others.map(({ name }) => name));
     for (const name of this.#peers.keys()) if (!names.has(name)) this.#peers.delete(name);
   }
--- a/packages/gateway/src/node/prepaidGrants.ts
+++ b/packages/gateway/src/node/prepaidGrants.ts
@@ -1,4 +1,4 @@
-/** The object that all groups share, as one instance uses it: its group, and what that was granted. */
+/** Access of one instance to the object that all groups share: its group membership and the group's grants. */
 
 import type {
   AccountId,
@@ -36,24 +36,24 @@
 const BUDGETS_NAME = 'all';
 
 /**
- * Most instances of a group. Conflicts grow faster than the group: with its reports, and with the length
- * of its page, which a link of 7 Mbit/s carries in a millisecond for each instance.
+ * Maximum number of instances in a group. Conflicts grow faster than the group, because both the number of
+ * reports and the size of the page grow. Over a 7 Mbit/s link the page takes one millisecond per instance.
  */
-const GROUP_SIZE = 10;
-/** Milliseconds after which the shared object is read again: new members share the fleet's retries. */
-const BUDGETS_FRESH_MS = 4_000;
+const MAX_GROUP_SIZE = 10;
+/** Maximum age of the shared object in milliseconds. It is read for new members, which share the fleet's retries. */
+const BUDGETS_MAX_AGE_MS = 4_000;
 /**
- * Milliseconds over which instances that start together spread their joining. A join takes some ten
- * milliseconds, so two of 73 that start at once get in each other's way now and then.
+ * Milliseconds over which instances that start together spread their joins. A join takes about 10 ms, so of
+ * 73 instances that start at once, two occasionally conflict.
  */
-const JOIN_SPREAD_MS = 400;
+const JOIN_JITTER_MS = 400;
 
 /**
- * Membership and grants of this instance's group.
+ * Group membership of this instance and grants of its group.
  *
  * @example
  * const joined = await grants.join();
- * if (joined.isOk) await grants.ask(page, lacking, limits);
+ * if (joined.isOk) await grants.ask(page, shortfalls, limits);
  */
 export class PrepaidGrants {
   readonly #context: GatewayContext;
@@ -66,42 +66,42 @@
     this.#budgets = new StoredObject(store, budgetCollection, BUDGETS_NAME, createPrepaidBudgets);
   }
 
-  /** Empty before this instance has joined one. */
+  /** Name of the group; empty before this instance has joined one. */
   get group(): string {
     return this.#group;
   }
 
-  /** What all share, as last seen. */
+  /** The shared object as last read. */
   get known(): PrepaidBudgets {
     return this.#budgets.value ?? createPrepaidBudgets();
   }
 
-  /** Instances of all groups; at least this one. */
+  /** Number of instances in all groups; at least 1. */
   get instances(): number {
     return Math.max(1, Object.keys(this.known.members).length);
   }
 
-  /** Groups that have members; at least the own one. */
+  /** Number of groups that have members; at least 1. */
   get groups(): number {
     return Math.max(1, new Set(Object.values(this.known.members)).size);
   }
 
-  /** Conflicts since this was last asked, for the log. */
+  /** Returns the number of conflicts since the last call, for the log, and resets it. */
   takeConflicts(): number {
     return this.#budgets.takeConflicts();
   }
 
-  /** What a report is sized by beyond the page. */
+  /** Inputs for sizing a report that the page does not contain. */
   outlook(limits: PrepaidLimits): Map<AccountId, PrepaidOutlook> {
     return prepaidOutlook(this.known, limits);
   }
 
-  /** Tokens of an account that no group holds, as last seen. */
+  /** Tokens of an account that no group holds, according to the last read. */
   ungranted(account: AccountId, limit: Tokens): Tokens {
     return ungrantedPrepaid(this.known, account, limit);
   }
 
-  /** The most of an account that can be left anywhere, by this copy and the group's page. */
+  /** Upper bound of the tokens left of an account, from this copy and the group's page. */
   left(account: AccountId, limit: Tokens, page: PrepaidPage | undefined): Tokens {
     const entry = page?.accounts[account];
     const here = entry ? entry.spent + entry.inDoubt : 0;
@@ -113,22 +113,22 @@
     this.#budgets.forget();
   }
 
-  /** Joins a group if this instance has none; reads anew what is not known or old. */
+  /** Joins a group if this instance has none. Reads the shared object if it is unknown or old. */
   async join(options: CallOptions): Promise<Result<Unit, StoreError>> {
     const { settings, random, log } = this.#context;
     const stale = this.#budgets.value !== undefined;
-    if (!stale || this.#budgets.ageMs(this.#now()) > BUDGETS_FRESH_MS) {
+    if (!stale || this.#budgets.ageMs(this.#now()) > BUDGETS_MAX_AGE_MS) {
       const read = await this.#budgets.read(this.#now(), { ...options, stale });
       if (read.isErr) return Result.err(read.error);
     }
     while (this.known.members[settings.instance] === undefined) {
-      const next = joinGroup(this.known, settings.instance, GROUP_SIZE);
+      const next = joinGroup(this.known, settings.instance, MAX_GROUP_SIZE);
       const written = await this.#budgets.update(next, this.#now());
       if (written.isErr) return Result.err(written.error);
       if (written.value === 'written') break;
-      // instances that start together would conflict with each other again; and the copy has to be
-      // read after the pause, because another's write during it would make it outdated each time.
-      await delay(random() * JOIN_SPREAD_MS);
+      // the random pause keeps instances that start together from conflicting again. The copy is read
+      // after the pause, because a write by another instance during the pause would make it outdated.
+      await delay(random() * JOIN_JITTER_MS);
       const read = await this.#budgets.read(this.#now(), options);
       if (read.isErr) return Result.err(read.error);
     }
@@ -138,15 +138,15 @@
     return Result.ok();
   }
 
-  /** Asks for what a group lacks, where anything may be left to grant. */
+  /** Requests grants for the group's shortfall, for accounts that may have tokens left. */
   async ask(
     page: PrepaidPage,
-    lacking: ReadonlyMap<AccountId, Tokens>,
+    shortfalls: ReadonlyMap<AccountId, Tokens>,
     limits: PrepaidLimits,
   ): Promise<Result<ChangeEnd, StoreError>> {
     let wanted = new Map<AccountId, Tokens>();
     const asked = await this.#budgets.change((known) => {
-      wanted = wantedGrants(known, this.#group, page, lacking, limits);
+      wanted = wantedGrants(known, this.#group, page, shortfalls, limits);
       return wanted.size === 0 ? known : grantPrepaid(known, this.#group, page, wanted, limits);
     }, this.#now());
     if (asked.isOk && asked.value === 'written') {
@@ -160,7 +160,7 @@
     return asked;
   }
 
-  /** Has what a page gives back taken in; where that fails, the page still says it at the next turn. */
+  /** Records the returns of a page. If this fails, the page still contains them for the next attempt. */
   async takeReturns(
     group: string,
     page: PrepaidPage,
@@ -179,7 +179,7 @@
     return taken;
   }
 
-  /** Takes instances out of their groups. */
+  /** Removes instances from their groups. */
   async leave(instances: readonly string[]): Promise<Result<ChangeEnd, StoreError>> {
     return this.#budgets.change((known) => leaveGroup(known, instances), this.#now());
   }
--- a/packages/gateway/src/node/prepaidPages.ts
+++ b/packages/gateway/src/node/prepaidPages.ts
@@ -1,4 +1,4 @@
-/** Carries reports to the page of this instance's group, and looks after pages whose instances are lost. */
+/** Writes reports to the page of this instance's group, and removes lost instances from pages. */
 
 import type {
   AccountId,
@@ -35,16 +35,19 @@
   schema: prepaidPageSchema,
 };
 
-/** Milliseconds for a call while the store is away; only a new connection notices its return soon. */
-const AWAY_TIMEOUT_MS = 500;
+/**
+ * Timeout of a call in milliseconds while the store is unreachable. It is short because only a new
+ * connection soon notices that the store is back.
+ */
+const UNREACHABLE_TIMEOUT_MS = 500;
 
 /**
- * What became of a report: taken in; to be sent again because others were quicker each time; or refused
- * because the page has forgotten this process.
+ * Outcome of sending a report. `taken`: the page contains it. `busy`: all attempts conflicted with other
+ * writers, so it has to be sent again. `fenced`: the page no longer knows this process and refuses it.
  */
-export type SendEnd = 'taken' | 'busy' | 'fenced';
+export type SendOutcome = 'taken' | 'busy' | 'fenced';
 
-/** A page that this instance looks after. */
+/** A page that this instance checks for lost members. */
 interface WatchedPage {
   group: string;
   page: StoredObject<PrepaidPage>;
@@ -52,7 +55,7 @@
 }
 
 /**
- * The stored side of prepaid budgets at one instance.
+ * Access of one instance to the stored objects of prepaid budgets.
  *
  * @example
  * const opened = await pages.open(false);
@@ -63,15 +66,15 @@
   readonly #grants: PrepaidGrants;
   #own: WatchedPage | undefined;
   #next: WatchedPage | undefined;
-  #tendedAt: number;
+  #maintainedAt: number;
 
   constructor(context: GatewayContext) {
     this.#context = context;
     this.#grants = new PrepaidGrants(context);
-    this.#tendedAt = this.#now();
+    this.#maintainedAt = this.#now();
   }
 
-  /** The group's page as last seen. */
+  /** The group's page as last read. */
   get page(): PrepaidPage | undefined {
     return this.#own?.page.value;
   }
@@ -84,67 +87,71 @@
     return this.#grants.group;
   }
 
-  /** Instances of the fleet; at least this one. */
+  /** Number of instances in all groups; at least 1. */
   get instances(): number {
     return this.#grants.instances;
   }
 
-  /** Groups of instances that hold rights; at least the own one. */
+  /** Number of groups that have members; at least 1. */
   get groups(): number {
     return this.#grants.groups;
   }
 
-  /** Conflicts since this was last asked, for the log. */
+  /** Returns the number of conflicts since the last call, for the log, and resets it. */
   takeConflicts(): number {
     return this.#grants.takeConflicts() + (this.#own?.page.takeConflicts() ?? 0);
   }
 
-  /** Milliseconds since the page was seen. */
+  /** Milliseconds since the page was read or written. */
   ageMs(now: number): number {
     return this.#own?.page.ageMs(now) ?? Infinity;
   }
 
-  /** What a report is sized by beyond the page. */
+  /** Inputs for sizing a report that the page does not contain. */
   outlook(limits: PrepaidLimits): Map<AccountId, PrepaidOutlook> {
     return this.#grants.outlook(limits);
   }
 
-  /** Tokens that this instance could get, as last seen. */
+  /** Tokens that this instance could get, according to the last read. */
   available(account: AccountId, limit: Tokens): Tokens {
     const entry = this.page?.accounts[account];
     return this.#grants.ungranted(account, limit) + (entry ? undealtPrepaid(entry) : 0);
   }
 
-  /** The most of an account that can be left anywhere, as last seen. */
+  /** Upper bound of the tokens left of an account, according to the last read. */
   left(account: AccountId, limit: Tokens): Tokens {
     return this.#grants.left(account, limit, this.page);
   }
 
-  /** After a write whose fate is not known everything is read anew. */
+  /** Drops all copies, because a write with an unknown outcome may have changed the objects. */
   forget(): void {
     this.#grants.forget();
     this.#own?.page.forget();
   }
 
   /**
-   * Joins a group if this instance has none, and reads what is not known.
+   * Joins a group if this instance has none, and reads the page if it is unknown.
    *
-   * @param away whether the store did not answer before.
+   * @param away whether the store did not answer the previous call.
    */
   async open(away: boolean): Promise<Result<PrepaidPage, StoreError>> {
-    const options = away ? { timeoutMs: AWAY_TIMEOUT_MS } : {};
+    const options = away ? { timeoutMs: UNREACHABLE_TIMEOUT_MS } : {};
     const joined = await this.#grants.join(options);
     if (joined.isErr) return Result.err(joined.error);
-    if (this.#own?.group !== this.group) this.#own = this.#watched(this.group);
+    if (this.#own?.group !== this.group) this.#own = this.#createWatchedPage(this.group);
     const { page } = this.#own;
     return page.value ? Result.ok(page.value) : page.read(this.#now(), options);
   }
 
-  /** Has a report taken in; it is idempotent, so after an error it may be sent again. */
-  async send(report: PrepaidReport, limits: PrepaidLimits): Promise<Result<SendEnd, StoreError>> {
+  /** Writes a report to the page. This is idempotent, so it may be repeated after an error. */
+  async send(
+    report: PrepaidReport,
+    limits: PrepaidLimits,
+  ): Promise<Result<SendOutcome, StoreError>> {
     const own = this.#own;
     if (!own?.page.value) return Result.ok('busy');
-    // others have reported since this copy was seen: a report on it would conflict, which costs a call.
+    // other instances have usually reported since the last read. A write on that copy would conflict and
+    // waste a call.
     const read = await own.page.read(this.#now(), { stale: true });
     if (read.isErr) return Result.err(read.error);
     const seen = read.value;
@@ -168,7 +175,7 @@
     return returned.isOk ? Result.ok('taken') : Result.err(returned.error);
   }
 
-  /** Ends the membership of this instance, whose last report was taken in. */
+  /** Ends the membership of this instance after its last report was written. */
   async leave(): Promise<Result<Unit, StoreError>> {
     const { instance } = this.#context.settings;
     const left = await this.#grants.leave([instance]);
@@ -178,26 +185,26 @@
   }
 
   /**
-   * Now and then puts what lost instances held in doubt and takes them out, in the own group and in the
-   * next one: members that are gone would fill groups and take their part of the fleet's retries, and
-   * what a lost group was granted would lie idle.
+   * At intervals of `tendMs`, removes lost instances from this instance's group and the next group, and
+   * marks their tokens as in doubt. Otherwise lost members would fill groups and use up their share of the
+   * fleet's retries, and the grants of a lost group would stay unused.
    */
-  async tend(limits: PrepaidLimits): Promise<Result<Unit, StoreError>> {
+  async maintain(limits: PrepaidLimits): Promise<Result<Unit, StoreError>> {
     const now = this.#now();
-    if (!this.#own || now - this.#tendedAt < this.#context.settings.prepaid.tendMs) {
+    if (!this.#own || now - this.#maintainedAt < this.#context.settings.prepaid.tendMs) {
       return Result.ok();
     }
-    this.#tendedAt = now;
+    this.#maintainedAt = now;
     const next = nextGroup(this.#grants.known, this.group);
-    if (this.#next?.group !== next) this.#next = this.#watched(next);
+    if (this.#next?.group !== next) this.#next = this.#createWatchedPage(next);
     for (const watched of next === this.group ? [this.#own] : [this.#own, this.#next]) {
-      const tended = await this.#tendPage(watched, limits);
+      const tended = await this.#maintainPage(watched, limits);
       if (tended.isErr) return tended;
     }
     return Result.ok();
   }
 
-  async #tendPage(
+  async #maintainPage(
     { group, page, watch }: WatchedPage,
     limits: PrepaidLimits,
   ): Promise<Result<Unit, StoreError>> {
@@ -230,13 +237,13 @@
     return returnSurplus(next, this.outlook(limits));
   }
 
-  /** Others were quicker each time: what was wanted has to wait for the next exchange. */
+  /** Logs that all attempts conflicted with other writers; the change waits for the next exchange. */
   #logBusy(object: 'page' | 'grants'): void {
     const { log } = this.#context;
     log.write('prepaid-busy', { object, group: this.group, conflicts: this.takeConflicts() });
   }
 
-  #watched(group: string): WatchedPage {
+  #createWatchedPage(group: string): WatchedPage {
     const { store, settings } = this.#context;
     const page = new StoredObject(store, pageCollection, group, createPrepaidPage);
     return { group, page, watch: new MemberWatch(settings.prepaid.silentMs) };
--- a/packages/gateway/src/node/prepaidService.ts
+++ b/packages/gateway/src/node/prepaidService.ts
@@ -1,4 +1,4 @@
-/** Reserves prepaid tokens for requests: of rights that this instance holds itself, or that others lend it. */
+/** Reserves prepaid tokens for requests, from tokens that this instance holds itself or borrows. */
 
 import type {
   AccountId,
@@ -24,71 +24,78 @@
 import { ConfigurationWatch } from './configurationWatch.js';
 import { InstanceDirectory } from './instanceDirectory.js';
 import { Lenders } from './lenders.js';
-import { LoanDesk } from './loanDesk.js';
+import { LoanRequestHandler } from './loanDesk.js';
 import { StoreTokens } from './storeTokens.js';
 
-/** Milliseconds after which a caller that was refused for want of tokens may find some. */
+/** Retry delay in milliseconds for a caller that was refused because no tokens were available. */
 const TOKENS_RETRY_MS = 400;
 
 /**
- * Milliseconds that a request waits for tokens. An exchange takes 4 to 40; one that takes longer meets
- * somebody who is cut off, and the caller is served sooner elsewhere.
+ * Milliseconds that a request waits for tokens. An exchange takes 4 to 40 ms. If it takes longer, one side is
+ * usually cut off, and another instance serves the caller sooner.
  */
 const FETCH_WAIT_MS = 250;
 
 /**
- * Reports of an idle instance in the time after which a silent one is taken for lost. With five, some may
- * be lost or late; at ten minutes that is a write each two, which costs nothing that shows.
+ * Number of reports that an idle instance sends in the time after which a silent instance counts as lost. With
+ * five, some may be lost or late. With a time of ten minutes this is one write every two minutes, a
+ * negligible cost.
  */
 const REPORTS_WITHIN_SILENCE = 5;
 
-/** Milliseconds for which an instance that was asked to lend holds rights, though it is no spender by its own list. */
-const ACTING_MS = 6_000;
-/** Milliseconds between looks at whether this instance should hold rights. */
-const ROLE_LOOK_MS = 5_000;
-/** Seconds of the borrowers' demand that a spender keeps to be lent. */
-const LENDING_SECONDS = 1;
-/** Seconds until the store knows what a borrower has spent: a report to its lender, and one of the lender. */
+/**
+ * Milliseconds for which an instance that was asked for a loan holds tokens from the store, although its own
+ * instance list does not make it a lender.
+ */
+const ACTING_LENDER_MS = 6_000;
+/** Milliseconds between two checks whether this instance should hold tokens from the store. */
+const ROLE_CHECK_MS = 5_000;
+/** Seconds of the borrowers' demand that a lender holds in reserve for loans. */
+const LENDING_RESERVE_SECONDS = 1;
+/** Seconds until the store knows a borrower's spending: one report to the lender and one of the lender. */
 const LOAN_REPORT_SECONDS = 5;
-/** Part of what may be dealt that spenders hold before any demand is known, to be lent to the first callers. */
-const LENT_BEFORE_DEMAND = 0.2;
+/**
+ * Fraction of the available tokens that lenders hold before any demand is known, so that they can lend
+ * to the first callers.
+ */
+const INITIAL_LENDING_SHARE = 0.2;
 
 /**
- * Milliseconds after a request was refused for want of tokens that are out of reach in which callers are sent
- * elsewhere. A balancer that asks each second and needs two misses has turned away by then.
+ * Milliseconds for which callers are diverted after a request was refused because no source of tokens was
+ * reachable. A load balancer that probes each second and needs two failed probes has diverted them by then.
  */
-const DRY_MS = 3_000;
+const DIVERT_MS = 3_000;
 
-/** Why a request was refused without its tokens. */
-type WhyNot =
-  /** Nobody who could give them answered lately. */
+/** Why a request was refused for missing tokens. */
+type RefusalReason =
+  /** No source answered its last call. */
   | 'away'
-  /** The store is asked too often by all instances together. */
+  /** All instances together exceed the rate limit of the store. */
   | 'throttled'
-  /** It was said just now that there are too few. */
+  /** A recent answer of the source shows too few tokens. */
   | 'short'
-  /** They were asked for and did not come in time. */
+  /** The tokens were requested but did not arrive in time. */
   | 'not-had'
   /** The other instances are not known yet. */
   | 'unknown-fleet';
 
-/** Registered as `prepaid`. */
+/** Service for prepaid budgets. Registered as `prepaid`. */
 export class PrepaidService extends Service {
   override readonly name = 'prepaid';
   override readonly dependsOn = ['configuration', 'lanes', 'instances'];
   readonly #context: GatewayContext;
   readonly #store: StoreTokens;
-  readonly #desk: LoanDesk;
+  readonly #loanRequests: LoanRequestHandler;
   readonly #lenders: Lenders;
   #instances: InstanceDirectory | undefined;
   #configuration: ConfigurationWatch | undefined;
   #limits: PrepaidLimits | undefined;
-  #isSpender = false;
-  #actingUntil = -Infinity;
+  #isLender = false;
+  #actingLenderUntil = -Infinity;
   #timer: NodeJS.Timeout | undefined;
   #stopping = false;
-  /** When a request was last refused because nobody who could give its tokens answers. */
-  #dryAt = -Infinity;
+  /** Time of the last refusal because no source of tokens was reachable. */
+  #unreachableRefusalAt = -Infinity;
 
   constructor(context: GatewayContext, incarnation: string, calls: LoanCalls) {
     super();
@@ -104,19 +111,23 @@
       createHolder: (name) => {
         return this.#createHolder(`${incarnation}-${name}`, loanSizing, 'pass-by');
       },
-      onLost: () => {
+      onUnavailable: () => {
         this.#instances?.lookSoon();
-        this.#assumeRole();
+        this.#updateRole();
       },
-      onRegained: () => {
-        this.#assumeRole();
+      onReachable: () => {
+        this.#updateRole();
       },
     });
-    this.#desk = new LoanDesk({ context, holder, limitOf: (account) => this.#limit(account) });
+    this.#loanRequests = new LoanRequestHandler({
+      context,
+      holder,
+      limitOf: (account) => this.#limit(account),
+    });
     this.#store = new StoreTokens({
       context,
       holder,
-      book: this.#desk.book,
+      book: this.#loanRequests.book,
       limits: () => this.#table?.prepaid,
       fleetSize: () => this.#instances?.count ?? 1,
       onExchange: () => {
@@ -126,15 +137,16 @@
   }
 
   /**
-   * Whether callers are better served elsewhere: nobody who could give tokens answers, and some were refused
-   * for want of them. Where every instance is cut off, all say so, and a balancer uses them as before.
+   * Whether callers are better served by other instances: no source of tokens is reachable, and a request was
+   * recently refused for this reason. If every instance is cut off, all report this, and a load balancer
+   * uses them as before.
    */
   get isDry(): boolean {
-    return this.#now() - this.#dryAt < DRY_MS && this.#isOutOfReach;
+    return this.#now() - this.#unreachableRefusalAt < DIVERT_MS && this.#areSourcesUnreachable;
   }
 
-  get #isOutOfReach(): boolean {
-    return this.#isSpender ? this.#store.isLost : this.#lenders.areLost;
+  get #areSourcesUnreachable(): boolean {
+    return this.#isLender ? this.#store.isUnreachable : this.#lenders.areUnreachable;
   }
 
   override start(kernel: Kernel): void {
@@ -143,23 +155,23 @@
     this.#configuration = kernel.get('configuration', ConfigurationWatch);
     this.#instances.onChange(() => {
       lanes.setInstances(this.#instances?.count ?? 1);
-      this.#assumeRole();
+      this.#updateRole();
     });
     this.#configuration.onChange((table) => {
-      this.#takeLimits(table.prepaid);
+      this.#applyLimits(table.prepaid);
     });
     this.#timer = setInterval(() => {
-      this.#assumeRole();
-    }, ROLE_LOOK_MS);
+      this.#updateRole();
+    }, ROLE_CHECK_MS);
   }
 
-  /** Others are told to borrow elsewhere; requests in progress go on. */
+  /** Tells borrowers to use other lenders. Requests in progress continue. */
   beginStop(): void {
     this.#stopping = true;
     this.#store.beginStop();
   }
 
-  /** Reports the rest and gives everything back. */
+  /** Sends the last reports and returns all tokens. */
   override async stop(): Promise<void> {
     this.beginStop();
     clearInterval(this.#timer);
@@ -168,10 +180,11 @@
   }
 
   /**
-   * Sets the most that a request may use aside. What is lacking is asked of a lender or the store, which
-   * takes some milliseconds; while they are out of reach the request is refused at once instead.
+   * Reserves the maximum number of tokens that a request may use. Missing tokens are fetched from a lender
+   * or the store, which takes some milliseconds. While none of them is reachable, the request is refused
+   * at once.
    *
-   * @param signal ends the wait; the request is refused then.
+   * @param signal ends the wait for tokens; the request is then refused.
    */
   async reserve(
     account: AccountId,
@@ -180,46 +193,46 @@
   ): Promise<Result<PrepaidReservation, Refusal>> {
     const sources = this.#sources(account);
     sources[0]?.observe(account, amount, this.#now());
-    const held = this.#take(account, amount);
+    const held = this.#reserveHeld(account, amount);
     if (held) return Result.ok(held);
     const why = await this.#fetch(sources, account, amount, signal);
-    const fetched = this.#take(account, amount);
+    const fetched = this.#reserveHeld(account, amount);
     return fetched ? Result.ok(fetched) : Result.err(this.#refuse(account, amount, why));
   }
 
-  /** Ends a reservation with what was used. */
+  /** Ends a reservation with the number of used tokens. */
   settle(reservation: PrepaidReservation, used: Tokens): void {
     const sources: TokenSource[] = [this.#store, ...this.#lenders.all];
     sources.find((source) => source.settle(reservation, used));
   }
 
-  /** Lends to another instance. One that is asked takes the place of spenders that do not answer. */
+  /** Lends to another instance. An instance that is asked for a loan stands in for unreachable lenders. */
   async lend(request: LoanRequest): Promise<LoanAnswer> {
-    if (asksForTokens(request)) this.#actingUntil = this.#now() + ACTING_MS;
-    if (!this.#isSpender) this.#assumeRole();
-    return this.#desk.lend(request, this.#store);
+    if (asksForTokens(request)) this.#actingLenderUntil = this.#now() + ACTING_LENDER_MS;
+    if (!this.#isLender) this.#updateRole();
+    return this.#loanRequests.lend(request, this.#store);
   }
 
   #dropLostBorrowers(): void {
-    const lost = this.#desk.dropLost();
+    const lost = this.#loanRequests.dropLostBorrowers();
     if (lost.length > 0) void this.#instances?.remove(lost);
   }
 
-  /** Takes tokens that are here, from whomever they are. */
-  #take(account: AccountId, amount: Tokens): PrepaidReservation | undefined {
+  /** Reserves tokens that this instance already holds, from any source. */
+  #reserveHeld(account: AccountId, amount: Tokens): PrepaidReservation | undefined {
     const holding: TokenSource[] = [...this.#lenders.all, this.#store];
     const [first] = this.#sources(account);
     const source = holding.find((other) => other.free(account) >= amount) ?? first;
     return source?.reserve(account, amount);
   }
 
-  /** Asks one source after the other until one has the tokens or answers that it has not. */
+  /** Asks the sources in order until one supplies the tokens or answers without them. */
   async #fetch(
     sources: readonly TokenSource[],
     account: AccountId,
     amount: Tokens,
     signal: AbortSignal,
-  ): Promise<WhyNot> {
+  ): Promise<RefusalReason> {
     if (sources.length === 0) return 'unknown-fleet';
     const limit = startTimeLimit(FETCH_WAIT_MS, signal);
     try {
@@ -234,37 +247,37 @@
     sources: readonly TokenSource[],
     account: AccountId,
     amount: Tokens,
-  ): Promise<WhyNot> {
+  ): Promise<RefusalReason> {
     for (const source of sources) {
       const outlook = source.fetchOutlook(account, amount);
       if (outlook === 'away') continue;
       if (outlook !== 'may-help') return outlook;
       await source.fetch(account, amount, signal);
-      if (!source.isLost) return 'not-had';
+      if (!source.isUnreachable) return 'not-had';
       if (signal.aborted) return 'away';
     }
     return 'away';
   }
 
-  /** Whom to ask for tokens of an account, in this order. */
+  /** The sources to ask for tokens of an account, in this order. */
   #sources(account: AccountId): TokenSource[] {
-    return this.#isSpender ? [this.#store] : this.#lenders.inOrder(account);
+    return this.#isLender ? [this.#store] : this.#lenders.inOrder(account);
   }
 
-  /** Holds rights or borrows, by what is known of the fleet. */
-  #assumeRole(): void {
+  /** Decides from the instance list whether this instance holds tokens from the store or borrows. */
+  #updateRole(): void {
     const all = this.#instances?.all ?? [];
     if (all.length === 0 || this.#stopping || !this.#limits) return;
     if (!this.#instances?.isSettled) return;
     const { instance, dataCentre, listen } = this.#context.settings;
-    const spenders = chooseSpenders(all, dataCentre);
-    const isListed = spenders.length === 0 || spenders.some(({ name }) => name === instance);
-    this.#isSpender = isListed || !listen.mesh || this.#now() < this.#actingUntil;
-    if (this.#isSpender) {
+    const lenders = chooseSpenders(all, dataCentre);
+    const isListed = lenders.length === 0 || lenders.some(({ name }) => name === instance);
+    this.#isLender = isListed || !listen.mesh || this.#now() < this.#actingLenderUntil;
+    if (this.#isLender) {
       this.#lenders.release();
       this.#store.hold();
     } else {
-      this.#lenders.use(spenders, rankSpenders(all, dataCentre));
+      this.#lenders.use(lenders, rankSpenders(all, dataCentre));
       this.#store.retire();
     }
   }
@@ -276,28 +289,28 @@
       process,
       sizing,
       lendingSizing: new PrepaidSizing({
-        rideThroughSeconds: LENDING_SECONDS,
-        evenPart: LENT_BEFORE_DEMAND,
+        rideThroughSeconds: LENDING_RESERVE_SECONDS,
+        evenPart: INITIAL_LENDING_SHARE,
       }),
       aliveMs: prepaid.silentMs / REPORTS_WITHIN_SILENCE,
       newcomers,
     });
   }
 
-  /** Rights are held from the first limits on, and reported soon when some have changed. */
-  #takeLimits(limits: PrepaidLimits): void {
+  /** Starts to hold tokens at the first limits, and reports soon after limits have changed. */
+  #applyLimits(limits: PrepaidLimits): void {
     const before = this.#limits;
     this.#limits = limits;
-    if (!before) this.#assumeRole();
+    if (!before) this.#updateRole();
     else if (!isDeepStrictEqual(before, limits)) this.#store.reportSoon();
   }
 
-  #refuse(account: AccountId, amount: Tokens, why: WhyNot): Refusal {
+  #refuse(account: AccountId, amount: Tokens, why: RefusalReason): Refusal {
     const [source = this.#store] = this.#sources(account);
     const limit = this.#limit(account);
     const { available, left, ageMs, inDoubt } = source.view(account, limit, this.#now());
     const usedUp = this.#isUsedUp(left, amount);
-    if (why === 'away' && !usedUp) this.#dryAt = this.#now();
+    if (why === 'away' && !usedUp) this.#unreachableRefusalAt = this.#now();
     this.#context.metrics.prepaidRefused(account, usedUp ? 'used-up' : why);
     this.#context.log.write('prepaid-refused', {
       account,
@@ -321,9 +334,9 @@
   }
 
   /**
-   * Whether it is proved that the budget can't cover the amount, whoever holds the rest. What is gone
-   * only grows, so what was known earlier proves it as well; but a higher limit may have come that this
-   * instance, cut off from the store, does not know.
+   * Whether the budget certainly cannot cover the amount, wherever the remaining tokens are held. Spending
+   * only grows, so older information proves this too. The configuration must be recent, however, because an
+   * instance that is cut off from the store may not know of a raised limit.
    */
   #isUsedUp(left: Tokens | undefined, amount: Tokens): boolean {
     const isFresh = this.#configuration?.isFresh(this.#now()) ?? false;
@@ -343,7 +356,7 @@
   }
 }
 
-/** Whether a borrower wants more than to give back what it has. */
+/** Whether a borrower asks for tokens, rather than only returning some. */
 function asksForTokens({ report }: LoanRequest): boolean {
   return Object.values(report.entries).some(({ wants }) => wants > 0);
 }
--- a/packages/gateway/src/node/sharedQuarantine.ts
+++ b/packages/gateway/src/node/sharedQuarantine.ts
@@ -1,4 +1,7 @@
-/** What the quarantine of one instance learns, told to all instances and kept for those to come. */
+/**
+ * Shares the quarantine events of one instance with all instances, and stores proven causes for instances
+ * that start later.
+ */
 
 import type {
   Fingerprint,
@@ -13,22 +16,22 @@
 import type { NewsService } from './newsService.js';
 import { provenCauses } from '@flamingocourse/core';
 
-/** Requests in one piece of news. */
-const MAX_IN_FLIGHT = 256;
-/** Crashes with a request in flight after which the others have to hear at once that it finished. */
-const URGENT_CRASHES = 2;
-/** Requests of which an instance remembers that it had them in flight at a crash. */
-const MAX_REPORTED = 512;
+/** Maximum number of requests in one gossip fact. */
+const MAX_REQUESTS_PER_ITEM = 256;
+/** Number of crashes with a request in flight from which its completion is sent to the others at once. */
+const URGENT_CRASH_COUNT = 2;
+/** Maximum number of requests that an instance remembers to have had in flight at a crash. */
+const MAX_REMEMBERED = 512;
 
 type Crash = Extract<QuarantineEvent, { type: 'crashed' }>;
 
-/** Carries the quarantine's events as news of the fleet, and its causes to the store. */
+/** Sends the events of the quarantine to the fleet, and its proven causes to the store. */
 export class SharedQuarantine implements QuarantineExchange {
   readonly #context: GatewayContext;
   readonly #news: NewsService;
   readonly #causes: KeptCauses;
-  /** Requests that this instance had in flight at a crash, the last ones last. */
-  readonly #reported = new Set<Fingerprint>();
+  /** Requests that this instance had in flight at a crash, oldest first. */
+  readonly #inFlightAtCrash = new Set<Fingerprint>();
 
   constructor(context: GatewayContext, news: NewsService, causes: KeptCauses) {
     this.#context = context;
@@ -40,21 +43,24 @@
     if (event.type === 'crashed') this.#publishCrash(event, state);
     if (event.type !== 'finished') return;
     const { crashes = [] } = state.entries[event.fingerprint] ?? {};
-    // after one more crash others would take it for a cause.
-    this.#news.publish(event, crashes.length >= URGENT_CRASHES ? 'now' : 'later');
-    this.#causes.forget(event.fingerprint);
+    // after one more crash, other instances would take the request for the cause.
+    this.#news.publish(event, crashes.length >= URGENT_CRASH_COUNT ? 'now' : 'later');
+    this.#causes.remove(event.fingerprint);
   }
 
-  /** Those write it down that had it in flight themselves: a few, of however many instances. */
+  /**
+   * Only instances that had the request in flight themselves store the cause, so the number of writes does
+   * not grow with the fleet.
+   */
   quarantined(fingerprint: Fingerprint, state: QuarantineState): void {
     this.#context.metrics.quarantined();
-    if (this.#reported.has(fingerprint)) this.#keep([fingerprint], state);
+    if (this.#inFlightAtCrash.has(fingerprint)) this.#saveCauses([fingerprint], state);
   }
 
   onNews(listener: (news: QuarantineNews) => void): void {
     this.#news.onNews(({ news, at }) => {
-      // whoever knows the stored cause takes it out, wherever its request finished.
-      if (news.type === 'finished') this.#causes.forget(news.fingerprint);
+      // every instance that knows the stored cause removes it, wherever the request finished.
+      if (news.type === 'finished') this.#causes.remove(news.fingerprint);
       listener({ type: 'event', event: toEvent(news), at });
     });
     this.#causes.onCause((cause) => {
@@ -64,28 +70,28 @@
   }
 
   #publishCrash({ server, inFlight }: Crash, state: QuarantineState): void {
-    for (let from = 0; from < inFlight.length; from += MAX_IN_FLIGHT) {
-      const part = inFlight.slice(from, from + MAX_IN_FLIGHT);
+    for (let from = 0; from < inFlight.length; from += MAX_REQUESTS_PER_ITEM) {
+      const part = inFlight.slice(from, from + MAX_REQUESTS_PER_ITEM);
       this.#news.publish({ type: 'crashed', server, inFlight: part });
     }
-    this.#keep(inFlight, state);
+    this.#saveCauses(inFlight, state);
     this.#remember(inFlight);
-    if (this.#news.missesPeers) this.#causes.look();
+    if (this.#news.hasUnreachablePeers) this.#causes.refresh();
   }
 
-  #keep(fingerprints: readonly Fingerprint[], state: QuarantineState): void {
+  #saveCauses(fingerprints: readonly Fingerprint[], state: QuarantineState): void {
     const causes = provenCauses(state, fingerprints, this.#now());
-    for (const cause of causes) this.#causes.keep(cause);
+    for (const cause of causes) this.#causes.save(cause);
   }
 
   #remember(fingerprints: readonly Fingerprint[]): void {
     for (const fingerprint of fingerprints) {
-      this.#reported.delete(fingerprint);
-      this.#reported.add(fingerprint);
+      this.#inFlightAtCrash.delete(fingerprint);
+      this.#inFlightAtCrash.add(fingerprint);
     }
-    for (const oldest of this.#reported) {
-      if (this.#reported.size <= MAX_REPORTED) break;
-      this.#reported.delete(oldest);
+    for (const oldest of this.#inFlightAtCrash) {
+      if (this.#inFlightAtCrash.size <= MAX_REMEMBERED) break;
+      this.#inFlightAtCrash.delete(oldest);
     }
   }
 
--- a/packages/gateway/src/node/storeContact.ts
+++ b/packages/gateway/src/node/storeContact.ts
@@ -1,10 +1,10 @@
-/** What one user of the store knows of its contact with it. */
+/** Tracks whether the store answers one service. */
 
 import type { GatewayContext } from '../types/context.js';
 import { Contact } from './contact.js';
 
 /**
- * Contact with the store.
+ * Whether the store answers.
  *
  * @example
  * const contact = new StoreContact(context, 'directory');
--- a/packages/gateway/src/node/storeTokens.ts
+++ b/packages/gateway/src/node/storeTokens.ts
@@ -1,4 +1,4 @@
-/** Rights to spend that this instance holds itself, by its reports to the store. */
+/** Tokens that this instance obtains from the store with its own reports. */
 
 import type {
   AccountId,
@@ -17,45 +17,48 @@
 import type { FetchOutlook, SourceView } from '../types/tokenSource.js';
 import { heldPrepaid, sum, viewOfPage } from '@flamingocourse/core';
 import { aborted } from '@flamingocourse/kernel';
-import { believedShortMs, reportPeriodMs, withReportJitter } from '../runtime/reportPeriod.js';
+import { shortageTrustMs, reportPeriodMs, withReportJitter } from '../runtime/reportPeriod.js';
 import { TokenSource } from '../types/tokenSource.js';
 import { PrepaidPages } from './prepaidPages.js';
 import { StoreContact } from './storeContact.js';
 
 /**
- * Milliseconds over which instances spread their reports after limits have changed. All hear of it in the
- * same moment; a request that needs the new tokens sooner fetches them itself.
+ * Milliseconds over which instances spread their reports after limits have changed. All are notified at the
+ * same time. A request that needs the new tokens sooner fetches them itself.
  */
-const LIMITS_SPREAD_MS = 500;
-/** Milliseconds for which a store that is over its rate is not asked, unless it says for how long. */
+const LIMITS_JITTER_MS = 500;
+/** Milliseconds without calls after the store throttled one, unless its answer states a time. */
 const THROTTLED_MS = 500;
-/** Milliseconds between tries while the store is away; tokens run out meanwhile. */
-const AWAY_RETRY_MS = 200;
-/** Exchanges in which an instance that stops tries to leave; its time to stop is bounded. */
-const LAST_TRIES = 3;
+/** Milliseconds between attempts while the store is unreachable. Short, because tokens run out meanwhile. */
+const UNREACHABLE_RETRY_MS = 200;
+/** Maximum exchanges in which a stopping instance tries to leave, because its time to stop is bounded. */
+const MAX_STOP_ATTEMPTS = 3;
 /** Outcome of one exchange with the store. */
-type SyncEnd = 'done' | 'failed';
+type SyncOutcome = 'done' | 'failed';
 
-/** Whether this instance holds rights: not at all, for itself and others, or until all are given back. */
+/**
+ * `idle`: holds no tokens. `holding`: holds tokens for itself and its borrowers. `retiring`: returns its
+ * tokens as they become free.
+ */
 type Phase = 'idle' | 'holding' | 'retiring';
 
-/** What the rights of an instance are created with. */
+/** Options of {@link StoreTokens}. */
 export interface StoreTokensOptions {
   context: GatewayContext;
   holder: PrepaidHolder;
-  /** Limits of the configuration in force; undefined before the first. */
+  /** Limits in the active configuration; undefined before the first configuration. */
   limits: () => PrepaidLimits | undefined;
-  /** Instances of the fleet. */
+  /** Number of instances in the fleet. */
   fleetSize: () => number;
-  /** What is lent of these rights. */
+  /** The loans made from these tokens. */
   book: LoanBook;
-  /** Called at each exchange that went well. */
+  /** Called at each successful exchange. */
   onExchange: () => void;
 }
 
 /**
- * Rights of one instance. A spender among them holds what the instances of its data centre need, and its
- * reports are the only ones that reach the store.
+ * Tokens of one instance from the store. In each data centre only the lenders report to the store; they
+ * hold the tokens that the other instances need.
  *
  * @example
  * tokens.hold();
@@ -67,13 +70,13 @@
   readonly #options: StoreTokensOptions;
   readonly #holder: PrepaidHolder;
   readonly #pages: PrepaidPages;
-  /** Whether the store answered the last exchange. */
-  readonly #contact: StoreContact;
+  /** Tracks whether the store answered the last exchange. */
+  readonly #reachability: StoreContact;
   #phase: Phase = 'idle';
-  #running: Promise<SyncEnd> | undefined;
+  #running: Promise<SyncOutcome> | undefined;
   #timer: NodeJS.Timeout | undefined;
-  /** Until then the store is not asked for single requests, because it is over its rate. */
-  #askAgainAt = -Infinity;
+  /** Until this time the store is not asked on behalf of single requests, because it throttled a call. */
+  #throttledUntil = -Infinity;
   #stopping = false;
 
   constructor(options: StoreTokensOptions) {
@@ -81,14 +84,14 @@
     this.#options = options;
     this.#holder = options.holder;
     this.#pages = new PrepaidPages(options.context);
-    this.#contact = new StoreContact(options.context, 'prepaid');
+    this.#reachability = new StoreContact(options.context, 'prepaid');
   }
 
-  override get isLost(): boolean {
-    return this.#contact.isLost;
+  override get isUnreachable(): boolean {
+    return this.#reachability.isLost;
   }
 
-  /** Begins to hold rights, unless it does. */
+  /** Starts to hold tokens, unless this instance already does. */
   hold(): void {
     if (this.#phase === 'holding' || this.#stopping) return;
     const wasIdle = this.#phase === 'idle';
@@ -96,29 +99,29 @@
     if (wasIdle) this.#reportIn(0);
   }
 
-  /** Gives back what is not in use, and leaves its group once nothing is. */
+  /** Returns unused tokens, and leaves the group once no tokens are in use. */
   retire(): void {
     if (this.#phase === 'holding') this.#phase = 'retiring';
   }
 
-  /** Reports soon: limits have changed. */
+  /** Reports within a short random time, because limits have changed. */
   reportSoon(): void {
     if (this.#phase === 'holding')
-      this.#reportIn(this.#options.context.random() * LIMITS_SPREAD_MS);
+      this.#reportIn(this.#options.context.random() * LIMITS_JITTER_MS);
   }
 
-  /** From now on borrowers are told to turn to others. */
+  /** From now on, answers tell borrowers to use other lenders. */
   beginStop(): void {
     this.#stopping = true;
   }
 
-  /** Reports the rest, gives everything back and leaves the group. */
+  /** Sends the last report, returns all tokens and leaves the group. */
   async stop(): Promise<void> {
     this.beginStop();
     clearTimeout(this.#timer);
     await this.#running;
-    // the first exchange may have to end with an earlier report whose fate was not known.
-    for (let tries = 0; tries < LAST_TRIES && this.#phase !== 'idle'; tries += 1) {
+    // the first exchange may have to repeat an earlier report with an unknown outcome.
+    for (let tries = 0; tries < MAX_STOP_ATTEMPTS && this.#phase !== 'idle'; tries += 1) {
       await this.#sync(true);
     }
   }
@@ -146,14 +149,14 @@
   }
 
   /**
-   * Whether the page was seen just now and has too few tokens to deal. Nothing is asked then: callers of an
-   * account that is short come back several times a second, and each question would be a write that others
-   * of the group conflict with, for tokens that hardly ever turn up so soon.
+   * Returns `short` if the page was read recently and has too few tokens. Callers of such an account retry
+   * several times a second. Each fetch would be a write that conflicts with others of the group, for tokens that
+   * rarely become available so soon.
    */
   override fetchOutlook(account: AccountId, amount: Tokens): FetchOutlook {
-    if (this.isLost) return 'away';
-    if (this.#now() < this.#askAgainAt) return 'throttled';
-    const believedMs = believedShortMs(this.#periodMs, this.#pages.instances);
+    if (this.isUnreachable) return 'away';
+    if (this.#now() < this.#throttledUntil) return 'throttled';
+    const believedMs = shortageTrustMs(this.#periodMs, this.#pages.instances);
     if (this.#pages.ageMs(this.#now()) > believedMs) return 'may-help';
     const available = this.#pages.available(account, this.#limit(account));
     return this.free(account) + available < amount ? 'short' : 'may-help';
@@ -164,9 +167,9 @@
   }
 
   override view(account: AccountId, limit: Tokens, now: EpochMs): SourceView {
-    // after a lost exchange nothing is known of what is left.
+    // after a failed exchange the remaining tokens are unknown.
     const isKnown = this.#pages.page !== undefined;
-    // what was spent here since the last report is in no page yet.
+    // tokens spent since the last report are not in the page yet.
     const left = this.#pages.left(account, limit) - this.#holder.unreported(account);
     return {
       available: isKnown ? this.#pages.available(account, limit) : undefined,
@@ -176,31 +179,33 @@
     };
   }
 
-  /** What the holder sizes its rights by; one that retires needs none. */
+  /** Input for sizing the tokens to hold; an instance that is retiring needs none. */
   get outlook(): PrepaidView {
     const limits = this.#options.limits() ?? new Map<AccountId, Tokens>();
     const page = this.#pages.page ?? { accounts: {}, writers: {} };
     const instances = Math.ceil(this.#options.fleetSize() / this.#pages.groups);
     const view = viewOfPage(page, this.#pages.outlook(limits), this.#holder, instances);
     if (this.#phase !== 'retiring') return view;
-    const nothing = [...view.accounts.keys()].map((account): [AccountId, typeof NOTHING_LEFT] => {
-      return [account, NOTHING_LEFT];
-    });
+    const nothing = [...view.accounts.keys()].map(
+      (account): [AccountId, typeof EMPTY_ACCOUNT_VIEW] => {
+        return [account, EMPTY_ACCOUNT_VIEW];
+      },
+    );
     return { ...view, accounts: new Map(nothing) };
   }
 
-  /** Whether this instance stops, or gives its rights back for another reason. */
+  /** Whether this instance is stopping. */
   get isStopping(): boolean {
     return this.#stopping;
   }
 
-  /** Waits for an exchange that asks for what several requests lack. */
-  async fetchAll(lacking: ReadonlyMap<AccountId, Tokens>, signal: AbortSignal): Promise<void> {
-    for (const [account, amount] of lacking) this.#holder.beginWait(account, amount);
-    // one exchange may have been under way that did not ask for these tokens yet.
+  /** Waits for an exchange that asks for the tokens missing for several requests. */
+  async fetchAll(shortfalls: ReadonlyMap<AccountId, Tokens>, signal: AbortSignal): Promise<void> {
+    for (const [account, amount] of shortfalls) this.#holder.beginWait(account, amount);
+    // a running exchange has not asked for these tokens yet, so another one follows it.
     const exchange = (this.#running ?? Promise.resolve()).then(() => this.#sync());
     await Promise.race([exchange, aborted(signal)]).finally(() => {
-      for (const [account, amount] of lacking) this.#holder.endWait(account, amount);
+      for (const [account, amount] of shortfalls) this.#holder.endWait(account, amount);
     });
   }
 
@@ -218,7 +223,7 @@
     this.#timer = setTimeout(() => {
       void this.#sync().finally(() => {
         if (this.#stopping || this.#phase === 'idle') return;
-        this.#reportIn(this.#contact.isLost ? AWAY_RETRY_MS : this.#jitteredPeriodMs);
+        this.#reportIn(this.#reachability.isLost ? UNREACHABLE_RETRY_MS : this.#jitteredPeriodMs);
       });
     }, ms);
   }
@@ -227,25 +232,25 @@
     return this.#options.limits()?.get(account) ?? Infinity;
   }
 
-  #sync(last = false): Promise<SyncEnd> {
+  #sync(last = false): Promise<SyncOutcome> {
     this.#running ??= this.#report(last || this.#isDone).finally(() => {
       this.#running = undefined;
     });
     return this.#running;
   }
 
-  /** Whether nothing is in use any more of rights that are to be given back. */
+  /** Whether this instance is retiring and none of its tokens is in use. */
   get #isDone(): boolean {
     return this.#phase === 'retiring' && !this.#holder.hasRights;
   }
 
-  async #report(last: boolean): Promise<SyncEnd> {
+  async #report(last: boolean): Promise<SyncOutcome> {
     const limits = this.#options.limits();
     if (!limits || this.#phase === 'idle') return 'done';
-    const opened = await this.#pages.open(this.#contact.isLost);
+    const opened = await this.#pages.open(this.#reachability.isLost);
     if (opened.isErr) return this.#fail(opened.error);
-    // the store answers, whatever becomes of the report: others may be quicker each time.
-    this.#contact.heard();
+    // the store is reachable, even if the report fails because of conflicts with other writers.
+    this.#reachability.heard();
     if (this.#holder.isForgotten(opened.value)) this.#renew(opened.value);
     const report = this.#holder.reportBy(this.outlook, this.#now(), last);
     if (report) {
@@ -256,7 +261,7 @@
       this.#confirm(report, page);
     }
     this.#options.onExchange();
-    const ended = await (report?.last ? this.#leave() : this.#pages.tend(limits));
+    const ended = await (report?.last ? this.#leave() : this.#pages.maintain(limits));
     return ended.isOk ? 'done' : this.#fail(ended.error);
   }
 
@@ -264,12 +269,12 @@
     const left = await this.#pages.leave();
     if (left.isErr) return left;
     this.#phase = 'idle';
-    // the page has forgotten this process: should it hold rights again, it begins anew.
+    // the page no longer knows this process, so it needs a new incarnation to hold tokens again.
     this.#holder.renew();
     return left;
   }
 
-  /** Goes on without the rights that were put in doubt while this instance was away. */
+  /** Continues under a new incarnation, without the tokens that were marked as in doubt meanwhile. */
   #renew(page: PrepaidPage): void {
     const { log, settings } = this.#options.context;
     const { incarnation } = this.#holder;
@@ -306,16 +311,17 @@
     }
   }
 
-  // the report stays pending: its write may still take effect, so the same one is sent again.
-  #fail({ code, message, retryAfterMs = THROTTLED_MS }: StoreError): SyncEnd {
+  // the report stays pending and is sent again unchanged, because its write may still take effect.
+  #fail({ code, message, retryAfterMs = THROTTLED_MS }: StoreError): SyncOutcome {
     if (code === 'throttled') {
-      // nothing was done, and the store is there: what is known stays, and nothing is asked for a while.
-      this.#askAgainAt = this.#now() + retryAfterMs;
+      // the call had no effect and the store is reachable, so the copies stay valid. Single requests do not
+      // ask the store for a while.
+      this.#throttledUntil = this.#now() + retryAfterMs;
       this.#options.context.log.write('prepaid-throttled', { reason: message, retryAfterMs });
       return 'failed';
     }
     this.#pages.forget();
-    this.#contact.lose(message, { seq: this.#holder.pending?.seq });
+    this.#reachability.lose(message, { seq: this.#holder.pending?.seq });
     return 'failed';
   }
 
@@ -324,10 +330,10 @@
   }
 }
 
-/** An account of which nothing is to be held. */
-const NOTHING_LEFT = { remaining: 0, othersRate: 0 };
+/** View of an account for which no tokens are to be held. */
+const EMPTY_ACCOUNT_VIEW = { remaining: 0, othersRate: 0 };
 
-/** Totals over all accounts of the group, for the log. */
+/** Totals of all accounts of the group, for the log. */
 function pageTotals(
   page: PrepaidPage,
   limits: PrepaidLimits | undefined,
--- a/packages/gateway/src/node/storedObject.ts
+++ b/packages/gateway/src/node/storedObject.ts
@@ -1,4 +1,4 @@
-/** One object of the store, changed by conditional update, with a copy of what was last seen of it. */
+/** One object of the store, changed by conditional updates, with a local copy of its last read version. */
 
 import type {
   Collection,
@@ -10,17 +10,17 @@
 import { isNewer } from '@flamingocourse/store';
 import { Result } from 'true-myth';
 
-/** What became of an update. */
-export type UpdateEnd = 'written' | 'conflict';
+/** Outcome of an update. */
+export type UpdateOutcome = 'written' | 'conflict';
 
-/** What became of a change; `busy` when others were quicker each time. */
+/** Outcome of a change; `busy` if every attempt conflicted with another writer. */
 export type ChangeEnd = 'written' | 'unchanged' | 'busy';
 
-/** Conflicts in a row after which a change waits for its next turn. */
+/** Consecutive conflicts after which a change gives up with `busy`. */
 const MAX_CONFLICTS = 8;
 
 /**
- * Copy of one object.
+ * Local copy of one stored object.
  *
  * @example
  * const read = await object.read(now);
@@ -43,7 +43,7 @@
     this.#initial = initial;
   }
 
-  /** The value last seen; undefined when it has to be read again. */
+  /** The last read value; undefined if it has to be read again. */
   get value(): T | undefined {
     return this.#seen?.value;
   }
@@ -52,24 +52,24 @@
     return this.#seen?.version;
   }
 
-  /** Milliseconds since the value was seen. */
+  /** Milliseconds since the value was read or written. */
   ageMs(now: number): number {
     return now - this.#seenAt;
   }
 
-  /** Conflicts since this was last asked. */
+  /** Returns the number of conflicts since the last call, and resets it. */
   takeConflicts(): number {
     const conflicts = this.#conflicts;
     this.#conflicts = 0;
     return conflicts;
   }
 
-  /** Drops the copy: a write whose fate is not known may have changed the object. */
+  /** Drops the copy, because a write with an unknown outcome may have changed the object. */
   forget(): void {
     this.#seen = undefined;
   }
 
-  /** Reads the object, and creates it where it is missing. The copy never becomes older. */
+  /** Reads the object, and creates it if it is missing. The copy never goes back to an older version. */
   async read(now: number, options: ReadOptions = {}): Promise<Result<T, PlatformError>> {
     let read = await this.#store.get(this.#collection, this.#name, options);
     if (read.isErr && read.error.code === 'not-found') {
@@ -86,8 +86,8 @@
     return Result.ok(kept.value);
   }
 
-  /** Replaces the value last seen. After a conflict the copy is what stands there instead. */
-  async update(next: T, now: number): Promise<Result<UpdateEnd, PlatformError>> {
+  /** Replaces the last read value. After a conflict, the copy holds the value that the store has instead. */
+  async update(next: T, now: number): Promise<Result<UpdateOutcome, PlatformError>> {
     const version = this.#seen?.version ?? '0';
     const written = await this.#store.update(this.#collection, this.#name, version, next);
     if (written.isOk) {
@@ -107,9 +107,9 @@
   }
 
   /**
-   * Changes the value last seen until no other was quicker.
+   * Applies a change to the last read value, and repeats it on the new value after each conflict.
    *
-   * @param reduce gives the value itself where nothing is left to change.
+   * @param reduce returns the value itself if nothing has to change.
    */
   async change(reduce: (value: T) => T, now: number): Promise<Result<ChangeEnd, PlatformError>> {
     for (let tries = 0; tries < MAX_CONFLICTS; tries += 1) {
--- a/packages/gateway/src/runtime/charge.ts
+++ b/packages/gateway/src/runtime/charge.ts
@@ -1,32 +1,32 @@
-/** What an account is charged for a request. */
+/** Computes what an account is charged for a request. */
 
 import type { Tokens } from '@flamingocourse/core';
 
-/** Whether a request of which the account got nothing is charged with its prompt. */
+/** Whether the prompt is charged for a request that delivered nothing to the caller. */
 export type UnansweredPolicy = 'free' | 'charged';
 
-/** How a request ended, as far as its charge goes. */
+/** The facts about an ended request that determine its charge. */
 export interface ChargedRequest {
   /** Tokens of the prompt. */
   prompt: Tokens;
-  /** Most tokens that may be generated. */
+  /** Maximum number of generated tokens. */
   most: Tokens;
   /** Attempts that may have run. */
   mayHaveRun: number;
-  /** Whether a server's whole answer, with a success, went to the caller. */
+  /** Whether a complete, successful answer was delivered to the caller. */
   answered: boolean;
-  /** Events of a stream that went to the caller; undefined where the answer is no stream. */
+  /** Stream events delivered to the caller; undefined if the answer is not a stream. */
   events: number | undefined;
   tokensPerEvent: Tokens;
 }
 
 /**
- * Tokens to charge: the prompt once, however many servers read it, and what was generated and passed
- * on. The answer of a route that doesn't stream does not say how long it is, so it counts in full.
+ * Tokens to charge: the prompt once, however many servers processed it, plus the generated tokens that were
+ * delivered. An answer that is not streamed does not state its length, so `most` is charged for it.
  *
- * `free` charges nothing where nothing was passed on: a caller who got no token has consumed none, and
- * a budget is not used up by servers that fail. With half of all answers lost, an account that was
- * charged all the same was refused after 60 % of its budget; the operator carries what ran in vain.
+ * With `free`, a request that delivered nothing costs nothing. A caller that received no token consumed
+ * none, and failing servers must not use up a budget: with half of all answers lost, an account that was
+ * charged anyway was refused after 60 % of its budget. The operator pays for the work that was lost.
  *
  * @example
  * chargeOf({ prompt: 900, most: 80, mayHaveRun: 1, answered: true, events: 10, tokensPerEvent: 3 }, 'free'); // 930
--- a/packages/gateway/src/types/loans.ts
+++ b/packages/gateway/src/types/loans.ts
@@ -1,10 +1,13 @@
-/** How an instance asks another one for tokens. */
+/** Interface for sending loan requests to other instances. */
 
 import type { FleetInstance, LoanAnswer, LoanRequest } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
 
-/** Carries loan requests to lenders. */
+/** Sends loan requests to lenders. */
 export abstract class LoanCalls {
-  /** Never rejects; takes a bounded time. The error says why there is no answer; the request may have arrived. */
+  /**
+   * Never rejects and returns within a bounded time. The error says why there is no answer; the lender may
+   * still have received the request.
+   */
   abstract ask(lender: FleetInstance, request: LoanRequest): Promise<Result<LoanAnswer, string>>;
 }
--- a/packages/gateway/src/types/newsCalls.ts
+++ b/packages/gateway/src/types/newsCalls.ts
@@ -1,11 +1,14 @@
-/** How an instance tells another one news. */
+/** Interface for exchanging news with other instances. */
 
 import type { FleetInstance, NewsMessage } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
 
-/** Carries news to another instance and its answer back. */
+/** Sends news to another instance and returns its answer. */
 export abstract class NewsCalls {
-  /** Never rejects; takes a bounded time. The error says why there is no answer; the message may have arrived. */
+  /**
+   * Never rejects and returns within a bounded time. The error says why there is no answer; the peer may
+   * still have received the message.
+   */
   abstract exchange(
     peer: FleetInstance,
     message: NewsMessage,
--- a/packages/gateway/src/types/tokenSource.ts
+++ b/packages/gateway/src/types/tokenSource.ts
@@ -1,47 +1,50 @@
-/** Where an instance gets its rights to spend from: the store, or a lender of its data centre. */
+/** Source of an instance's prepaid tokens: the store, or a lender in its data centre. */
 
 import type { AccountId, EpochMs, PrepaidReservation, Tokens } from '@flamingocourse/core';
 
-/** Whether it helps to ask a source for tokens now. */
+/** Whether asking a source for tokens can help now. */
 export type FetchOutlook =
   | 'may-help'
-  /** The source did not answer lately. */
+  /** The source did not answer the last call. */
   | 'away'
-  /** It is asked too often by all instances together. */
+  /** All instances together exceed the rate limit of the source. */
   | 'throttled'
-  /** It said just now that it has too few. */
+  /** A recent answer of the source shows too few tokens. */
   | 'short';
 
-/** What a source knows of an account, for a refusal and its log line. */
+/** What a source knows about an account; used for a refusal and its log line. */
 export interface SourceView {
-  /** Tokens that it could give beyond what is held here; undefined where nothing is known. */
+  /** Tokens that the source could add to those held by this instance; undefined if unknown. */
   available: Tokens | undefined;
-  /** The most that is left of the account anywhere; undefined where nothing is known. */
+  /** Upper bound of the tokens left of the account in the whole fleet; undefined if unknown. */
   left: Tokens | undefined;
-  /** Milliseconds since that was known. */
+  /** Age of this information in milliseconds. */
   ageMs: number;
   inDoubt: Tokens | undefined;
 }
 
-/** One giver of rights, with what is held of them here. */
+/** One source of tokens, with the tokens from it that this instance holds. */
 export abstract class TokenSource {
   /** The lender's name, or `store`. */
   abstract readonly name: string;
-  /** Whether the last word was that it does not answer. */
-  abstract get isLost(): boolean;
-  /** Notes that a request of an account came. */
+  /** Whether the last call got no answer. */
+  abstract get isUnreachable(): boolean;
+  /** Records a request of an account, for the estimate of its demand. */
   abstract observe(account: AccountId, amount: Tokens, now: EpochMs): void;
-  /** Sets tokens aside of those that are held here. */
+  /** Reserves tokens from those held by this instance; undefined if there are too few. */
   abstract reserve(account: AccountId, amount: Tokens): PrepaidReservation | undefined;
   /** Ends a reservation; false if another source made it. */
   abstract settle(reservation: PrepaidReservation, used: Tokens): boolean;
   abstract fetchOutlook(account: AccountId, amount: Tokens): FetchOutlook;
-  /** Asks for what a request lacks; ends when that is had, when it is known not to come, or with the signal. */
+  /**
+   * Asks the source for missing tokens. Resolves when the exchange with the source is over, with or without
+   * tokens, or when the signal aborts.
+   */
   abstract fetch(account: AccountId, amount: Tokens, signal: AbortSignal): Promise<void>;
-  /** Tokens free here. */
+  /** Tokens held by this instance and not reserved. */
   abstract free(account: AccountId): Tokens;
-  /** Tokens held here, those set aside included. */
+  /** Tokens held by this instance, including reserved ones. */
   abstract held(account: AccountId): Tokens;
-  /** @param limit the account's, by the configuration in force. */
+  /** @param limit limit of the account in the active configuration. */
   abstract view(account: AccountId, limit: Tokens, now: EpochMs): SourceView;
 }
--- a/packages/gateway/src/utils/causeSchema.ts
+++ b/packages/gateway/src/utils/causeSchema.ts
@@ -1,4 +1,4 @@
-/** Shape of the stored objects that name requests which end their servers. */
+/** Schema of the stored objects for requests that crash backend servers. */
 
 import type { ProvenCause } from '@flamingocourse/core';
 import { z } from 'zod';
--- a/packages/gateway/src/utils/prepaidSchemas.ts
+++ b/packages/gateway/src/utils/prepaidSchemas.ts
@@ -1,4 +1,4 @@
-/** Shapes of the stored objects of prepaid budgets. */
+/** Schemas of the stored objects of prepaid budgets. */
 
 import type { PrepaidBudgets, PrepaidPage } from '@flamingocourse/core';
 import { z } from 'zod';
