--- a/test/gateway/charge.test.ts
+++ b/test/gateway/charge.test.ts
@@ -3,8 +3,9 @@
 import { describe, test } from 'node:test';
 import { chargeOf } from '@flamingocourse/gateway';
 
-// duty pilots are refused for the rest of the day although hardly half of their budget was answered:
-// servers lost the other half of the answers, and each was charged with its prompt.
+// Guards against charging the prompt of requests that delivered nothing. When servers lost half of all
+// answers, accounts were refused for the rest of the day although barely half of their budget
+// had been answered.
 describe('the charge of a request', () => {
   const stream: ChargedRequest = {
     prompt: 900,
--- a/test/gateway/fleet/newsFleet.ts
+++ b/test/gateway/fleet/newsFleet.ts
@@ -1,4 +1,4 @@
-/** The news of a whole fleet, on a clock that only the test moves. */
+/** The gossip services of a whole fleet, on a manual clock. */
 
 import type { TestContext } from 'node:test';
 import type { FleetInstance, FleetNews, NewsMessage } from '@flamingocourse/core';
@@ -13,17 +13,17 @@
 import { createRandom } from '../../../packages/lab/src/runtime/random.js';
 import { contextOf } from '../contextOf.js';
 
-/** Milliseconds for each way between two instances. */
-const WAY_MS = 2;
-/** Milliseconds after which a call without an answer is given up. */
-const CALL_LIMIT_MS = 300;
+/** One-way latency in milliseconds between two instances. */
+const LATENCY_MS = 2;
+/** Milliseconds after which a call without an answer times out. */
+const CALL_TIMEOUT_MS = 300;
 const STEP_MS = 1;
 
-/** Size of a fleet, and what is lost on the way. */
+/** Size of a fleet and its message loss. */
 export interface NewsShape {
   dataCentres: number;
   instancesPerDataCentre: number;
-  /** Part of the messages and answers that get lost. */
+  /** Fraction of messages and answers that are lost. */
   lost: number;
   seed: number;
 }
@@ -31,14 +31,14 @@
 /** One process of an instance. */
 interface Process {
   news: NewsService;
-  heard: FleetNews[];
+  received: FleetNews[];
   kernel: Kernel;
 }
 
-/** The list of all instances, known from the start. */
-class KnownInstances extends InstanceDirectory {
+/** A fixed list of all instances. */
+class FixedInstances extends InstanceDirectory {
   readonly #known: readonly FleetInstance[];
-  readonly #told: (() => void)[] = [];
+  readonly #listeners: (() => void)[] = [];
 
   constructor(
     known: readonly FleetInstance[],
@@ -53,12 +53,12 @@
   }
 
   override onChange(listener: () => void): void {
-    this.#told.push(listener);
+    this.#listeners.push(listener);
     queueMicrotask(listener);
   }
 
   override start(): void {
-    for (const listener of this.#told) listener();
+    for (const listener of this.#listeners) listener();
   }
 
   override stop(): Promise<void> {
@@ -66,7 +66,7 @@
   }
 }
 
-/** One instance's way to the others. */
+/** Delivers one instance's messages to the others in memory. */
 class NewsLink extends NewsCalls {
   readonly #fleet: NewsFleet;
   readonly #from: FleetInstance;
@@ -83,16 +83,16 @@
   ): Promise<Result<NewsMessage, string>> {
     this.#fleet.messages += 1;
     this.#fleet.largest = Math.max(this.#fleet.largest, JSON.stringify(message).length);
-    await delay(WAY_MS);
+    await delay(LATENCY_MS);
     if (this.#fleet.loses(this.#from, to)) return this.#giveUp();
     const answer = this.#fleet.process(to.name).news.hear(structuredClone(message));
     if (this.#fleet.loses(to, this.#from)) return this.#giveUp();
-    await delay(WAY_MS);
+    await delay(LATENCY_MS);
     return Result.ok(structuredClone(answer));
   }
 
   async #giveUp(): Promise<Result<NewsMessage, string>> {
-    await delay(CALL_LIMIT_MS);
+    await delay(CALL_TIMEOUT_MS);
     return Result.err('no answer in time');
   }
 }
@@ -109,7 +109,7 @@
   readonly #instances: FleetInstance[];
   readonly #processes = new Map<string, Process>();
   readonly #cut = new Set<string>();
-  readonly #deaf = new Set<string>();
+  readonly #unreachable = new Set<string>();
 
   private constructor(t: TestContext, shape: NewsShape) {
     this.#t = t;
@@ -135,7 +135,7 @@
     return fleet;
   }
 
-  /** Starts an instance's process; one that ran before is gone with all that it knew. */
+  /** Starts a process of an instance; a previous one is stopped and its state is lost. */
   async startProcess(name: string): Promise<void> {
     await this.#processes.get(name)?.kernel.stop();
     const instance = this.#instances.find((each) => each.name === name);
@@ -148,14 +148,14 @@
     const heard: FleetNews[] = [];
     news.onNews((item) => heard.push(item.news));
     const kernel = new Kernel()
-      .register(new KnownInstances(this.#instances, context))
+      .register(new FixedInstances(this.#instances, context))
       .register(news);
-    this.#processes.set(name, { news, heard, kernel });
+    this.#processes.set(name, { news, received: heard, kernel });
     await kernel.start();
   }
 
-  /** Lets time pass. */
-  async pass(ms: number): Promise<void> {
+  /** Advances the clock. */
+  async advance(ms: number): Promise<void> {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
       this.clock.advance(STEP_MS);
       this.#t.mock.timers.tick(STEP_MS);
@@ -173,18 +173,18 @@
     return this.#instances.map(({ name }) => name);
   }
 
-  /** Instances other than the one that found it out which have heard of a server's end. */
-  informed(server: string): number {
+  /** Number of instances that were informed of a server crash, without the one that observed it. */
+  informedCount(server: string): number {
     return this.names.filter((name) => this.knows(name, server)).length;
   }
 
   knows(name: string, server: string): boolean {
-    return this.process(name).heard.some(
+    return this.process(name).received.some(
       (news) => news.type === 'crashed' && news.server === server,
     );
   }
 
-  /** Cuts a data centre off from the others, or heals the cut. */
+  /** Starts or ends a partition between a data centre and the others. */
   setCut(dataCentre: string, isCut: boolean): void {
     for (const { name, dataCentre: own } of this.#instances) {
       if (own !== dataCentre) continue;
@@ -193,13 +193,13 @@
     }
   }
 
-  /** Makes an instance lose all that is sent to it; what it sends arrives. */
-  setDeaf(name: string): void {
-    this.#deaf.add(name);
+  /** Drops all messages to an instance; its own messages arrive. */
+  dropMessagesTo(name: string): void {
+    this.#unreachable.add(name);
   }
 
   loses(from: FleetInstance, to: FleetInstance): boolean {
     const isCut = this.#cut.has(from.name) !== this.#cut.has(to.name);
-    return isCut || this.#deaf.has(to.name) || this.#random.chance(this.#shape.lost);
+    return isCut || this.#unreachable.has(to.name) || this.#random.chance(this.#shape.lost);
   }
 }
--- a/test/gateway/fleet/prepaidFleet.ts
+++ b/test/gateway/fleet/prepaidFleet.ts
@@ -1,4 +1,4 @@
-/** The budget services of a whole fleet beside one store, on a clock that only the test moves. */
+/** The budget services of a whole fleet with one store, on a manual clock. */
 
 import type { TestContext } from 'node:test';
 import type { AccountId, PrepaidReservation, Tokens } from '@flamingocourse/core';
@@ -20,44 +20,45 @@
 import { contextOf } from '../contextOf.js';
 import type { Peer } from './loanLink.js';
 import { LoanLink } from './loanLink.js';
-import { ProcessLife, StoreLink, StoreLoad, WayFaults } from './storeLink.js';
+import { TestProcess, StoreLink, StoreLoad, LinkFaults } from './storeLink.js';
 
 const noQuarantine = { publish: () => undefined, onNews: () => undefined };
 
-/** Size of a fleet and what its callers ask for. */
+/** Size of a fleet and the load of its callers. */
 export interface FleetShape {
   dataCentres: number;
   instancesPerDataCentre: number;
   accounts: number;
-  /** Requests a second of all instances together. */
+  /** Requests per second to all instances together. */
   requestsPerSecond: number;
-  /** Seconds of the whole demand that the budgets cover. */
+  /** Seconds of the total demand that the budgets cover. */
   budgetSeconds: number;
-  /** Part of the requests that belong to the first account and all come in at the first instance. @default 0 */
+  /** Fraction of requests that belong to the first account and arrive at the first instance. @default 0 */
   atOneInstance?: number;
   /**
-   * Callers, each of one account, whose requests come in at the instance that a balancer chose by its hash of
-   * the caller; one that is refused comes again at another. Without any, each request comes in anywhere.
+   * Number of callers, each of one account. A caller's requests arrive at the instance that a load balancer
+   * chose by a hash of the caller; a refused request is retried at another. Without callers, each request
+   * arrives at a random instance.
    */
   callers?: number;
   seed: number;
 }
 
-/** What became of an account's requests. */
+/** Outcomes of the requests of an account. */
 export interface AccountTally {
   asked: number;
   refused: number;
-  /** Tokens that were used, with those that requests in progress may use at most. */
+  /** Used tokens plus the maximum that requests in progress may use. */
   committed: Tokens;
   limit: Tokens;
 }
 
-/** One instance over all its processes. */
+/** One instance across all its processes. */
 interface Instance {
   name: string;
   dataCentre: string;
-  faults: WayFaults;
-  /** How many of the callers come in here, against the others. */
+  faults: LinkFaults;
+  /** Share of the callers that use this instance, relative to the others. */
   weight: number;
   processes: number;
   log: MemoryEventLog;
@@ -65,7 +66,7 @@
   running: RunningProcess | undefined;
 }
 
-/** Somebody who keeps sending requests. */
+/** A caller that sends requests repeatedly. */
 interface Caller {
   account: AccountId;
   home: Instance;
@@ -78,20 +79,20 @@
 /** The first accounts are large. */
 const LARGE_ACCOUNTS = 4;
 const LARGE_WEIGHT = 6;
-/** Tokens of a request at its most, with how often it comes. */
+/** Maximum tokens of a request and its relative frequency. */
 const REQUESTS = [
   { most: 9_500, weight: 144 },
   { most: 2_450, weight: 97 },
   { most: 1_000, weight: 109 },
 ];
-/** Part of its most that a request uses. */
-const USED_PART = 0.9;
+/** Fraction of its maximum that a request uses. */
+const USED_FRACTION = 0.9;
 const REQUEST_MS = 400;
-/** Milliseconds after which a refused caller comes again. */
+/** Milliseconds after which a refused caller retries. */
 const RETRY_MS = 400;
 const MS_PER_SECOND = 1_000;
 const WRITES_PER_SECOND = 1_200;
-const LEAST_WEIGHT = 0.3;
+const MIN_WEIGHT = 0.3;
 
 class NoHealthCheck extends HealthCheck {
   override ask(): Promise<'unknown'> {
@@ -122,7 +123,7 @@
     });
   }
 
-  /** Starts all instances in the same moment, without callers. */
+  /** Starts all instances at the same time, without requests. */
   static async start(t: TestContext, shape: FleetShape): Promise<PrepaidFleet> {
     t.mock.timers.enable({ apis: ['setTimeout', 'setInterval'] });
     syncBuiltinESMExports();
@@ -144,13 +145,13 @@
     return this.#instances.map(({ name }) => name);
   }
 
-  /** Calls to the store so far that begin so, such as `update prepaid`. */
+  /** Number of store calls so far with this prefix, such as `update prepaid`. */
   storeCalls(beginning = ''): number {
     const counted = [...this.#load.calls].filter(([call]) => call.startsWith(beginning));
     return counted.reduce((sum, [, count]) => sum + count, 0);
   }
 
-  /** Requests of all accounts together. */
+  /** Totals over all accounts. */
   get total(): { asked: number; refused: number } {
     const tallies = [...this.tallies.values()];
     const asked = tallies.reduce((sum, tally) => sum + tally.asked, 0);
@@ -158,14 +159,14 @@
     return { asked, refused };
   }
 
-  /** Fields of all lines of one event, over all instances. */
+  /** Fields of all log lines of one event, over all instances. */
   lines(event: string): EventFields[] {
     return this.#instances.flatMap(({ log }) => {
       return log.events.filter((line) => line.event === event).map(({ fields }) => fields);
     });
   }
 
-  /** Reports of an instance that the store has taken in. */
+  /** Number of reports of an instance that the store has accepted. */
   reportsOf(name: string): number {
     return this.#find(name).log.events.filter(({ event }) => event === 'prepaid-reported').length;
   }
@@ -176,30 +177,30 @@
     return tally;
   }
 
-  faults(name: string): WayFaults {
+  faults(name: string): LinkFaults {
     return this.#find(name).faults;
   }
 
-  /** Cuts an instance off from the store and from all others, or ends that. */
-  setAlone(name: string, isAlone: boolean): void {
+  /** Isolates an instance from the store and from all others, or ends the isolation. */
+  setIsolated(name: string, isAlone: boolean): void {
     const faults = this.faults(name);
     faults.isStoreCut = isAlone;
     faults.isPeerCut = isAlone;
   }
 
-  /** Changes how many writing calls the store takes. */
+  /** Changes how many writes per second the store accepts. */
   setWritesPerSecond(count: number): void {
     this.#load.writesPerSecond = count;
   }
 
-  /** Ends a process without warning; what its requests may use at most counts as used. */
+  /** Ends a process without warning; the maximum of its running requests counts as used. */
   kill(name: string): void {
     const instance = this.#find(name);
     instance.running?.process.end();
     instance.running = undefined;
   }
 
-  /** Stops a process in order, in the background. */
+  /** Stops a process gracefully, in the background. */
   stop(name: string): void {
     const instance = this.#find(name);
     const { running } = instance;
@@ -209,25 +210,25 @@
     });
   }
 
-  /** Starts the next process of an instance, unless one runs. */
+  /** Starts the next process of an instance, unless one is running. */
   async restart(name: string): Promise<void> {
     const instance = this.#find(name);
     if (!instance.running) await this.#startProcess(instance);
   }
 
-  /** Raises the limits of all accounts by a part of what they are. */
+  /** Raises the limits of all accounts by this fraction. */
   topUp(part: number): void {
     for (const tally of this.tallies.values()) tally.limit += Math.round(part * tally.limit);
     this.#writeLimits();
   }
 
-  /** Lets time pass without new requests. */
-  async rest(ms: number): Promise<void> {
+  /** Advances the clock without new requests. */
+  async advance(ms: number): Promise<void> {
     this.#nextRequestAt = Infinity;
     await this.#run(ms);
   }
 
-  /** Lets callers come for a time. */
+  /** Advances the clock while callers send requests. */
   async serve(ms: number): Promise<void> {
     if (this.#nextRequestAt === Infinity) this.#nextRequestAt = this.clock.now();
     await this.#run(ms);
@@ -257,7 +258,7 @@
     if (instance?.running && account) void this.#ask(instance, account.name, most);
   }
 
-  /** A request that is not repeated. */
+  /** Sends a request that is not retried. */
   async #ask(instance: Instance, account: AccountId, most: Tokens): Promise<void> {
     const tally = this.tally(account);
     tally.asked += 1;
@@ -269,7 +270,7 @@
     return { account, home: this.#random.pickWeighted(this.#instances) };
   }
 
-  /** A request of a caller and, where it is refused, its next try. */
+  /** Sends a request of a caller, and retries it once if it is refused. */
   async #call({ account, home }: Caller, most: Tokens): Promise<void> {
     const tally = this.tally(account);
     tally.asked += 1;
@@ -282,18 +283,18 @@
     tally.refused += 1;
   }
 
-  /** Whether the request was taken; one at a process that ends counts as neither. */
+  /** Whether the request was accepted. A request at a process that is killed meanwhile counts as accepted. */
   async #reserve({ running }: Instance, account: AccountId, most: Tokens): Promise<boolean> {
     if (!running) return false;
     const { prepaid, process } = running;
     const tally = this.tally(account);
     const reserved = await prepaid.reserve(account, most, new AbortController().signal);
-    // a process that was killed meanwhile sends nothing.
-    if (process.isOver()) return true;
+    // a process that was killed meanwhile sends no answer.
+    if (process.hasEnded()) return true;
     if (reserved.isErr) return false;
     tally.committed += most;
     setTimeout(() => {
-      if (!process.isOver()) settle(prepaid, tally, reserved.value);
+      if (!process.hasEnded()) settle(prepaid, tally, reserved.value);
     }, REQUEST_MS);
     return true;
   }
@@ -302,8 +303,8 @@
     const instance: Instance = {
       name,
       dataCentre,
-      faults: new WayFaults(),
-      weight: LEAST_WEIGHT + this.#random.fraction(),
+      faults: new LinkFaults(),
+      weight: MIN_WEIGHT + this.#random.fraction(),
       processes: 0,
       log: new MemoryEventLog(),
       running: undefined,
@@ -316,7 +317,7 @@
     instance.processes += 1;
     const { name, dataCentre, faults, log, processes } = instance;
     const random = (): number => this.#random.fraction();
-    const process = new ProcessLife(faults);
+    const process = new TestProcess(faults);
     const store = new StoreLink(this.#objects, this.#load, process, random);
     const base = contextOf(this.clock, log, store);
     const listen = { ...base.settings.listen, mesh: { host: name, port: 7_340 } };
@@ -341,7 +342,7 @@
     return found;
   }
 
-  /** Each account may spend its part of the demand of so many seconds. */
+  /** Sets each account's limit to its share of the demand of `budgetSeconds`. */
   #writeConfiguration(): void {
     const { requestsPerSecond, budgetSeconds, atOneInstance = 0 } = this.#shape;
     const weights = this.#accounts.reduce((sum, { weight }) => sum + weight, 0);
@@ -372,7 +373,7 @@
   tally: AccountTally,
   reservation: PrepaidReservation,
 ): void {
-  const used = Math.floor(reservation.amount * USED_PART);
+  const used = Math.floor(reservation.amount * USED_FRACTION);
   tally.committed -= reservation.amount - used;
   prepaid.settle(reservation, used);
 }
--- a/test/gateway/fleet/storeLink.ts
+++ b/test/gateway/fleet/storeLink.ts
@@ -1,4 +1,4 @@
-/** One instance's way to a store in memory: calls take time, and all instances share the store's rate. */
+/** One instance's link to an in-memory store. Calls have latency, and all instances share the rate limit. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { Clock } from '@flamingocourse/kernel';
@@ -15,37 +15,37 @@
 import { ObjectStore, PlatformError } from '@flamingocourse/store';
 import { Result } from 'true-myth';
 
-/** Milliseconds for each way of a call without a value; half of what a healthy store takes to answer. */
-const WAY_MS = 3;
-const WAY_JITTER_MS = 1;
-/** Bytes that an instance's link carries in a millisecond, at 10 Mbit/s. */
+/** One-way latency in milliseconds of a call without a value; half the answer time of a healthy store. */
+const LATENCY_MS = 3;
+const LATENCY_JITTER_MS = 1;
+/** Bytes per millisecond of an instance's link, at 10 Mbit/s. */
 const LINK_BYTES_PER_MS = 1_250;
-/** Milliseconds after which a call without an answer is given up. */
-const CALL_LIMIT_MS = 1_000;
-/** Milliseconds between two words of a watch. */
-const HEARD_MS = 1_000;
+/** Milliseconds after which a call without an answer times out. */
+const CALL_TIMEOUT_MS = 1_000;
+/** Milliseconds between two signs of life of a watch. */
+const WATCH_SIGNAL_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
-/** What goes wrong on the ways of one instance; may be changed at any time. */
-export class WayFaults {
+/** Faults on the links of one instance; may be changed at any time. */
+export class LinkFaults {
   isStoreCut = false;
-  /** Whether no other instance is reached, nor reaches this one. */
+  /** Whether the links to all other instances are cut in both directions. */
   isPeerCut = false;
-  /** Whether another instance is quicker with each change that this one tries. */
-  losesRaces = false;
-  /** Milliseconds that each way to the store takes longer, as where an instance is short of processor time. */
-  slowMs = 0;
-  /** Part of the calls, to the store or to others, that take effect and whose answer is lost. */
+  /** Whether every update of this instance conflicts with another writer. */
+  losesConflicts = false;
+  /** Additional one-way latency to the store in milliseconds, as on an instance short of CPU time. */
+  extraLatencyMs = 0;
+  /** Fraction of calls to the store or to other instances that take effect but lose their answer. */
   lostAnswers = 0;
 }
 
-/** One process of an instance; what it does after its end has no effect. */
-export class ProcessLife {
+/** One process of an instance; its calls after its end have no effect. */
+export class TestProcess {
   #isOver = false;
 
-  constructor(readonly faults: WayFaults) {}
+  constructor(readonly faults: LinkFaults) {}
 
-  isOver(): boolean {
+  hasEnded(): boolean {
     return this.#isOver;
   }
 
@@ -54,12 +54,12 @@
   }
 }
 
-/** An answer that nobody is there to get. */
+/** A promise that never settles, for the answer to a process that has ended. */
 export function never<T>(): Promise<T> {
   return new Promise(() => undefined);
 }
 
-/** What a store has been asked, and the writing calls that it takes in a second, conflicts included. */
+/** Counts the calls to a store and limits its writes per second, conflicts included. */
 export class StoreLoad {
   /** Calls by kind and collection, such as `update prepaid-pages`. */
   readonly calls = new Map<string, number>();
@@ -79,7 +79,7 @@
     this.calls.set(call, (this.calls.get(call) ?? 0) + 1);
   }
 
-  /** Whether the store takes one more writing call now. */
+  /** Whether the store accepts one more write now. */
   admitWrite(): boolean {
     const now = this.#clock.now();
     this.#writes = this.#writes.filter((at) => at > now - MS_PER_SECOND);
@@ -92,13 +92,13 @@
 export class StoreLink extends ObjectStore {
   readonly #objects: MemoryObjectStore;
   readonly #load: StoreLoad;
-  readonly #process: ProcessLife;
+  readonly #process: TestProcess;
   readonly #random: () => number;
 
   constructor(
     objects: MemoryObjectStore,
     load: StoreLoad,
-    process: ProcessLife,
+    process: TestProcess,
     random: () => number,
   ) {
     super();
@@ -139,7 +139,7 @@
     value: T,
   ): PlatformResult<VersionedObject<T>> {
     return this.#write(`update ${collection.name}`, value, async () => {
-      if (!this.#process.faults.losesRaces) {
+      if (!this.#process.faults.losesConflicts) {
         const updated = await this.#objects.update(collection, name, version, value);
         if (updated.isOk || updated.error.code !== 'conflict') return updated;
       }
@@ -164,7 +164,7 @@
     options.onHeard?.();
     const timer = setInterval(() => {
       if (!this.#process.faults.isStoreCut) options.onHeard?.();
-    }, HEARD_MS);
+    }, WATCH_SIGNAL_MS);
     return {
       stop: () => {
         clearInterval(timer);
@@ -189,14 +189,14 @@
   }
 
   async #call<T>(call: string, value: unknown, run: () => PlatformResult<T>): PlatformResult<T> {
-    if (this.#process.isOver()) return never();
+    if (this.#process.hasEnded()) return never();
     this.#load.count(call);
     if (this.#isCut) return this.#giveUp();
-    await delay(this.#wayMs(value));
-    if (this.#process.isOver()) return never();
+    await delay(this.#latencyMs(value));
+    if (this.#process.hasEnded()) return never();
     const result = await run();
-    if (this.#loses()) return this.#giveUp();
-    await delay(this.#wayMs(result.isOk ? result.value : result.error.current));
+    if (this.#isAnswerLost()) return this.#giveUp();
+    await delay(this.#latencyMs(result.isOk ? result.value : result.error.current));
     return result;
   }
 
@@ -205,19 +205,19 @@
   }
 
   /** Whether the answer of a call that took effect does not arrive. */
-  #loses(): boolean {
+  #isAnswerLost(): boolean {
     return this.#isCut || this.#random() < this.#process.faults.lostAnswers;
   }
 
   async #giveUp<T>(): PlatformResult<T> {
-    await delay(CALL_LIMIT_MS);
+    await delay(CALL_TIMEOUT_MS);
     const message = 'no answer in time';
     return Result.err(new PlatformError('unreachable', message, { effect: 'unknown' }));
   }
 
-  #wayMs(carried: unknown): number {
+  #latencyMs(carried: unknown): number {
     const bytes = carried === undefined ? 0 : JSON.stringify(carried).length;
-    const { slowMs } = this.#process.faults;
-    return WAY_MS + WAY_JITTER_MS * this.#random() + bytes / LINK_BYTES_PER_MS + slowMs;
+    const { extraLatencyMs: slowMs } = this.#process.faults;
+    return LATENCY_MS + LATENCY_JITTER_MS * this.#random() + bytes / LINK_BYTES_PER_MS + slowMs;
   }
 }
--- a/test/gateway/keptCauses.test.ts
+++ b/test/gateway/keptCauses.test.ts
@@ -12,17 +12,17 @@
 import { NewsCalls } from '../../packages/gateway/src/types/newsCalls.js';
 import { contextOf } from './contextOf.js';
 
-/** Reaches nobody. */
+/** Reaches no peer. */
 class NoCalls extends NewsCalls {
   override exchange(): Promise<Result<NewsMessage, string>> {
-    return Promise.resolve(Result.err('nobody listens'));
+    return Promise.resolve(Result.err('connection refused'));
   }
 }
 
 const anything = { name: 'fleet-causes', schema: z.unknown() };
 const cause: ProvenCause = { fingerprint: 'a+b/c=', servers: ['s1', 's2@5', 's3'] };
 
-/** Beside a store that may hold something already. */
+/** Starts a process on a store that may already contain causes. */
 async function start(t: TestContext, store: MemoryObjectStore): Promise<World> {
   const causes = new KeptCauses(contextOf(new ManualClock(), new MemoryEventLog(), store));
   const found: ProvenCause[] = [];
@@ -49,38 +49,38 @@
   return list.isOk ? list.value.items.map(({ name }) => name) : [];
 }
 
-// After a loss of all instances nobody knows which requests end servers.
-test('a new process finds what another one wrote, once', async (t) => {
+// Guards against losing the causes when all instances have ended.
+test('a new process finds each stored cause once', async (t) => {
   const store = new MemoryObjectStore();
   const first = await start(t, store);
-  first.causes.keep(cause);
-  first.causes.keep(cause);
+  first.causes.save(cause);
+  first.causes.save(cause);
   await settle();
   const second = await start(t, store);
   assert.deepEqual(second.found, [cause]);
 });
 
-// A request that is served again is refused by each process that starts.
-test('a request that finished is taken out, by whoever knows of it', async (t) => {
+// Guards against new processes that refuse a request although it has finished since.
+test('a process that knows a stored cause removes it when the request finishes', async (t) => {
   const store = new MemoryObjectStore();
   const first = await start(t, store);
-  first.causes.keep(cause);
+  first.causes.save(cause);
   await settle();
   const second = await start(t, store);
-  second.causes.forget(cause.fingerprint);
-  second.causes.forget('another');
+  second.causes.remove(cause.fingerprint);
+  second.causes.remove('another');
   await settle();
   assert.deepEqual(await names(store), []);
 });
 
-// A request that finished at an instance that did not write it down stays refused by each process that starts.
-test('a request that finished at another instance is taken out as well', async (t) => {
+// Guards against a cause that stays stored because the request finished at an instance that did not store it.
+test('a request that finished at another instance is removed as well', async (t) => {
   const store = new MemoryObjectStore();
   const context = contextOf(new ManualClock(), new MemoryEventLog(), store);
   const { causes } = await start(t, store);
   const news = new NewsService(context, 'life-1', new NoCalls());
   new SharedQuarantine(context, news, causes).onNews(() => undefined);
-  causes.keep(cause);
+  causes.save(cause);
   await settle();
   const { fingerprint } = cause;
   const finished = {
@@ -95,22 +95,22 @@
   assert.deepEqual(await names(store), []);
 });
 
-// An entry of another writer keeps a process from reading the others.
-test('an entry that can not be read is passed over', async (t) => {
+// Guards against an invalid object that keeps a process from reading the valid ones.
+test('an object with an invalid schema is skipped', async (t) => {
   const store = new MemoryObjectStore();
   await store.create(anything, 'odd', { fingerprint: 7 });
   const first = await start(t, store);
-  first.causes.keep(cause);
+  first.causes.save(cause);
   await settle();
   const second = await start(t, store);
   assert.deepEqual(second.found, [cause]);
 });
 
-// Causes gather in the store for years.
-test('the oldest go beyond sixty-four', async (t) => {
+// Guards against causes that accumulate in the store for years.
+test('the oldest causes beyond 64 are removed', async (t) => {
   const store = new MemoryObjectStore();
   const first = await start(t, store);
-  for (let i = 0; i < 70; i += 1) first.causes.keep({ ...cause, fingerprint: `f${String(i)}` });
+  for (let i = 0; i < 70; i += 1) first.causes.save({ ...cause, fingerprint: `f${String(i)}` });
   await settle();
   await start(t, store);
   const left = await names(store);
--- a/test/gateway/loanFaults.test.ts
+++ b/test/gateway/loanFaults.test.ts
@@ -5,12 +5,13 @@
 
 const SMALL = { dataCentres: 3, instancesPerDataCentre: 5, accounts: 6, requestsPerSecond: 60 };
 
-// A charity pays more than was given: loans are spent after their lender was killed, cut off, replaced or stopped.
+// Guards against overspending a prepaid budget: borrowed tokens are still spent after their lender was killed,
+// cut off, replaced or stopped.
 for (const seed of Array.from({ length: 8 }, (_, n) => n + 100)) {
-  test(`no fault of instances, ways or store lets loans pass a prepaid budget (seed ${String(seed)})`, async (t) => {
+  test(`no fault of instances, links or store lets loans exceed a prepaid budget (seed ${String(seed)})`, async (t) => {
     const fleet = await PrepaidFleet.start(t, { ...SMALL, budgetSeconds: 5, seed });
     const random = createRandom(seed);
-    await fleet.rest(2_000);
+    await fleet.advance(2_000);
     for (let step = 0; step < 60; step += 1) {
       await disturb(fleet, random);
       await fleet.serve(random.int(50, 700));
--- a/test/gateway/news.test.ts
+++ b/test/gateway/news.test.ts
@@ -4,15 +4,15 @@
 import type { NewsShape } from './fleet/newsFleet.js';
 import { NewsFleet } from './fleet/newsFleet.js';
 
-/** Milliseconds in which all instances have to know what one has found out. */
-const KNOWN_MS = 3_000;
-/** Characters of a message: what a link of 7 Mbit/s carries in a fifth of a second. */
-const MOST_CHARACTERS = 175_000;
+/** Milliseconds within which all instances have to receive a fact. */
+const DELIVERY_MS = 3_000;
+/** Maximum characters of a message, which a link of 7 Mbit/s transfers in a fifth of a second. */
+const MAX_CHARACTERS = 175_000;
 
 const SMALL = { dataCentres: 4, instancesPerDataCentre: 2, lost: 0, seed: 1 };
 const LARGE = { dataCentres: 6, instancesPerDataCentre: 32, lost: 0, seed: 2 };
 
-// What one instance has found out about a request that ends servers stays with it.
+// Guards against facts about crashing requests that do not reach the other instances.
 const cases: (NewsShape & { name: string })[] = [
   { ...SMALL, name: 'a small fleet' },
   { ...SMALL, name: 'a small fleet whose messages get lost', lost: 0.3 },
@@ -20,76 +20,77 @@
   { ...LARGE, name: 'a large fleet whose messages get lost', lost: 0.3 },
 ];
 for (const { name, ...shape } of cases) {
-  test(`all instances of ${name} hear in time of a server's end`, async (t) => {
+  test(`all instances of ${name} are informed of a server crash in time`, async (t) => {
     const fleet = await NewsFleet.start(t, shape);
-    await fleet.pass(500);
+    await fleet.advance(500);
     report(fleet, 'edge-0', 's1');
-    await fleet.pass(KNOWN_MS);
-    assert.equal(fleet.informed('s1'), fleet.names.length - 1);
+    await fleet.advance(DELIVERY_MS);
+    assert.equal(fleet.informedCount('s1'), fleet.names.length - 1);
   });
 }
 
-// An instance that was cut off goes on sending a request that all others refuse.
-test('a data centre that was cut off hears both ways after the cut what was found out in it', async (t) => {
+// Guards against instances that, after a partition, still send a request that all others refuse.
+test('after a partition, facts from both sides reach all instances', async (t) => {
   const fleet = await NewsFleet.start(t, SMALL);
-  await fleet.pass(500);
+  await fleet.advance(500);
   fleet.setCut('hall-0', true);
   report(fleet, 'edge-0', 'within');
   report(fleet, 'edge-1', 'without');
-  await fleet.pass(8_000);
-  assert.deepEqual([fleet.informed('within'), fleet.informed('without')], [1, 5]);
+  await fleet.advance(8_000);
+  assert.deepEqual([fleet.informedCount('within'), fleet.informedCount('without')], [1, 5]);
   fleet.setCut('hall-0', false);
-  await fleet.pass(KNOWN_MS);
-  assert.deepEqual([fleet.informed('within'), fleet.informed('without')], [7, 7]);
+  await fleet.advance(DELIVERY_MS);
+  assert.deepEqual([fleet.informedCount('within'), fleet.informedCount('without')], [7, 7]);
 });
 
-// A message gets lost in one direction only, and its sender takes it for told.
-test('an instance that is heard and hears nothing keeps nobody else from hearing', async (t) => {
+// Guards against senders that take a message for received although only its direction of the link fails.
+test('an instance that receives nothing but sends does not keep facts from the others', async (t) => {
   const fleet = await NewsFleet.start(t, SMALL);
-  await fleet.pass(500);
-  fleet.setDeaf('edge-5');
+  await fleet.advance(500);
+  fleet.dropMessagesTo('edge-5');
   report(fleet, 'edge-0', 's1');
-  await fleet.pass(KNOWN_MS);
-  assert.equal(fleet.informed('s1'), 6);
+  await fleet.advance(DELIVERY_MS);
+  assert.equal(fleet.informedCount('s1'), 6);
 });
 
-// A process that starts anew, under the name of one that knew, is told nothing because its peers take it for that one.
-test('a process that starts anew hears what was found out before', async (t) => {
+// Guards against peers that confuse a restarted process with its predecessor of the same name, which had
+// received the facts, and therefore send it nothing.
+test('a restarted process receives the facts found before', async (t) => {
   const fleet = await NewsFleet.start(t, SMALL);
-  await fleet.pass(500);
+  await fleet.advance(500);
   report(fleet, 'edge-0', 's1');
-  await fleet.pass(KNOWN_MS);
+  await fleet.advance(DELIVERY_MS);
   await fleet.startProcess('edge-3');
-  await fleet.pass(100);
+  await fleet.advance(100);
   assert.ok(fleet.knows('edge-3', 's1'));
 });
 
-// After a thousand servers' ends a message is too long for the link of a small instance.
-test('messages stay short, and the last news come through, however much is known', async (t) => {
+// Guards against messages that are too long for the link of a small instance after a thousand crashes.
+test('messages stay short and the latest facts arrive, however many facts are known', async (t) => {
   const fleet = await NewsFleet.start(t, SMALL);
-  await fleet.pass(500);
+  await fleet.advance(500);
   for (let i = 0; i < 1_000; i += 1) report(fleet, `edge-${String(i % 8)}`, `s${String(i)}`, 24);
-  await fleet.pass(KNOWN_MS);
-  assert.equal(fleet.informed('s999'), 7);
-  assert.ok(fleet.largest <= MOST_CHARACTERS, `${String(fleet.largest)} characters`);
+  await fleet.advance(DELIVERY_MS);
+  assert.equal(fleet.informedCount('s999'), 7);
+  assert.ok(fleet.largest <= MAX_CHARACTERS, `${String(fleet.largest)} characters`);
 });
 
-// Instances talk without having anything to say, on each of thousands of machines.
-test('nothing is sent while nothing was found out', async (t) => {
+// Guards against useless messages from each of thousands of machines.
+test('nothing is sent while there are no facts', async (t) => {
   const fleet = await NewsFleet.start(t, SMALL);
-  await fleet.pass(1_000);
+  await fleet.advance(1_000);
   const before = fleet.messages;
-  await fleet.pass(10_000);
+  await fleet.advance(10_000);
   assert.equal(fleet.messages, before);
 });
 
-test('messages become few while nothing new is found out', async (t: TestContext) => {
+test('messages become rare while there are no new facts', async (t: TestContext) => {
   const fleet = await NewsFleet.start(t, SMALL);
-  await fleet.pass(500);
+  await fleet.advance(500);
   report(fleet, 'edge-0', 's1');
-  await fleet.pass(200_000);
+  await fleet.advance(200_000);
   const before = fleet.messages;
-  await fleet.pass(60_000);
+  await fleet.advance(60_000);
   const each = (fleet.messages - before) / fleet.names.length;
   assert.ok(each <= 5, `${String(each)} of each instance in a minute`);
 });
--- a/test/gateway/prepaidFleet.test.ts
+++ b/test/gateway/prepaidFleet.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { PrepaidFleet } from './fleet/prepaidFleet.js';
 
-/** As many instances and accounts as a grown deployment has; one account's callers come in at one of them. */
+/** The size of a large deployment, in which all requests of one account arrive at a single instance. */
 const GROWN = {
   dataCentres: 4,
   instancesPerDataCentre: 22,
@@ -13,42 +13,44 @@
   atOneInstance: 0.14,
   seed: 27,
 };
-/** Milliseconds that each way to the store takes longer for the instance with so many callers. */
-const BUSY_MS = 60;
-/** Milliseconds after a cut in which a call of that time may hang, and the next one be due. */
+/** Additional latency to the store, in milliseconds, of the instance with these requests. */
+const EXTRA_LATENCY_MS = 60;
+/** Milliseconds after a partition in which a call made during it may still hang until the next one is due. */
 const HANGING_MS = 1_500;
-/** Part of the requests that may be refused for want of tokens while the store answers and budgets are hardly touched. */
-const MOST_REFUSED = 0.02;
+/** Fraction of requests that may be refused for missing tokens while the store answers and budgets are mostly unspent. */
+const MAX_REFUSED_FRACTION = 0.02;
 
-// Callers of one account are refused for half a minute: their instance is the slowest writer and loses each race.
-test('an account whose callers come in at one busy instance is served after a cut', async (t) => {
-  const fleet = await comeBackFromCut(t);
+// Guards against refusing the requests of one account for half a minute because its instance is the slowest
+// writer and loses every write conflict.
+test('an account whose requests arrive at one busy instance is served after a partition', async (t) => {
+  const fleet = await startAfterPartition(t);
   const before = { ...fleet.tally('club-0') };
   await fleet.serve(5_000);
   const { asked, refused } = fleet.tally('club-0');
   const part = (refused - before.refused) / (asked - before.asked);
-  assert.ok(part <= MOST_REFUSED, `${part.toFixed(3)} of its requests were refused`);
+  assert.ok(part <= MAX_REFUSED_FRACTION, `${part.toFixed(3)} of its requests were refused`);
 });
 
-// Requests are refused without a question although the store answers: a lost race was taken for a lost store.
-test('an instance whose reports lose to others does not take the store for lost', async (t) => {
+// Guards against taking a write conflict for an unreachable store, which refuses requests without asking it.
+test('an instance whose reports conflict does not take the store for unreachable', async (t) => {
   const fleet = await PrepaidFleet.start(t, { ...GROWN, instancesPerDataCentre: 2, seed: 5 });
-  await fleet.rest(2_000);
+  await fleet.advance(2_000);
   await fleet.serve(1_000);
-  fleet.setAlone('edge-0', true);
+  fleet.setIsolated('edge-0', true);
   await fleet.serve(3_000);
-  fleet.setAlone('edge-0', false);
-  fleet.faults('edge-0').losesRaces = true;
+  fleet.setIsolated('edge-0', false);
+  fleet.faults('edge-0').losesConflicts = true;
   await fleet.serve(HANGING_MS);
-  const before = refusedAway(fleet);
+  const before = refusedAsAway(fleet);
   await fleet.serve(5_000);
-  assert.equal(refusedAway(fleet) - before, 0);
+  assert.equal(refusedAsAway(fleet) - before, 0);
 });
 
-// A store that is over its rate for a second is taken for lost by most instances, which refuse all they can't cover.
-test('a store that is over its rate is not taken for lost', async (t) => {
+// Guards against taking a store that throttles for a second as unreachable. Most instances did, and refused
+// all requests beyond the tokens that they held.
+test('a store that throttles is not taken for unreachable', async (t) => {
   const fleet = await PrepaidFleet.start(t, { ...GROWN, instancesPerDataCentre: 2, seed: 5 });
-  await fleet.rest(2_000);
+  await fleet.advance(2_000);
   fleet.setWritesPerSecond(2);
   await fleet.serve(1_000);
   fleet.setWritesPerSecond(1_200);
@@ -56,22 +58,24 @@
   assert.deepEqual(fleet.lines('store-lost'), []);
 });
 
-// Instances that start together hold rights of their own until they know of each other, and leave budgets in pieces.
-test('a large fleet that starts for the first time joins with its listed spenders only', async (t) => {
+// Guards against instances that start together and each hold tokens until they know of each other, which
+// leaves the budgets fragmented.
+test('in a large fleet that starts for the first time, only the listed lenders join', async (t) => {
   const fleet = await PrepaidFleet.start(t, { ...GROWN, atOneInstance: 0 });
-  await fleet.rest(6_000);
+  await fleet.advance(6_000);
   assert.equal(fleet.lines('prepaid-group-joined').length, 2 * GROWN.dataCentres);
 });
 
-// After a cut of all, a quarter of a fleet writes to the store, and their own callers' loans are given back.
-test('the listed spenders alone hold rights soon after a cut of all instances', async (t) => {
+// Guards against a quarter of the fleet writing to the store after all instances were cut off, while the
+// loans for their own callers are returned.
+test('soon after all instances were cut off, only the listed lenders hold tokens', async (t) => {
   const shape = { ...GROWN, instancesPerDataCentre: 6, requestsPerSecond: 60, callers: 60 };
   const fleet = await PrepaidFleet.start(t, { ...shape, atOneInstance: 0, seed: 3 });
-  await fleet.rest(4_000);
+  await fleet.advance(4_000);
   await fleet.serve(3_000);
-  for (const name of fleet.names) fleet.setAlone(name, true);
+  for (const name of fleet.names) fleet.setIsolated(name, true);
   await fleet.serve(4_000);
-  for (const name of fleet.names) fleet.setAlone(name, false);
+  for (const name of fleet.names) fleet.setIsolated(name, false);
   await fleet.serve(20_000);
   const before = new Map(fleet.names.map((name) => [name, fleet.reportsOf(name)]));
   await fleet.serve(6_000);
@@ -80,22 +84,22 @@
 });
 
 /**
- * A fleet whose third, the busy instance among them, was cut off for three seconds and is back for longer than
- * a call may hang that was under way when the cut ended.
+ * Starts a fleet and cuts off a third of it, including the busy instance, for three seconds. Returns when
+ * calls that were in flight at the end of the partition have ended.
  */
-async function comeBackFromCut(t: TestContext): Promise<PrepaidFleet> {
+async function startAfterPartition(t: TestContext): Promise<PrepaidFleet> {
   const fleet = await PrepaidFleet.start(t, GROWN);
-  await fleet.rest(4_000);
-  fleet.faults('edge-0').slowMs = BUSY_MS;
+  await fleet.advance(4_000);
+  fleet.faults('edge-0').extraLatencyMs = EXTRA_LATENCY_MS;
   await fleet.serve(2_000);
   const cutOff = fleet.names.filter((_, at) => at % 3 === 0);
-  for (const name of cutOff) fleet.setAlone(name, true);
+  for (const name of cutOff) fleet.setIsolated(name, true);
   await fleet.serve(3_000);
-  for (const name of cutOff) fleet.setAlone(name, false);
+  for (const name of cutOff) fleet.setIsolated(name, false);
   await fleet.serve(HANGING_MS);
   return fleet;
 }
 
-function refusedAway(fleet: PrepaidFleet): number {
+function refusedAsAway(fleet: PrepaidFleet): number {
   return fleet.lines('prepaid-refused').filter(({ why }) => why === 'away').length;
 }
--- a/test/gateway/propagation.test.ts
+++ b/test/gateway/propagation.test.ts
@@ -7,16 +7,17 @@
 } from '../../packages/gateway/src/node/configurationWatch.js';
 import { GATHER_MS } from '../../packages/gateway/src/node/serverDirectory.js';
 
-/** Milliseconds that a healthy store takes for a list, on a link of 7 Mbit/s. */
+/** Milliseconds that a healthy store takes to return a list over a link of 7 Mbit/s. */
 const LIST_MS = 100;
 
-/** Deployments, by what an instance has to keep. */
+/** Deployments with their time limits. */
 const deployments = [
   { name: 'of today', inTouchMs: 3_000, leavingMs: 2_000, applyMs: 2_000 },
   { name: 'grown', inTouchMs: 4_000, leavingMs: 3_000, applyMs: 3_000 },
 ];
 
-// A caller's request is handled by what was true seconds ago: nobody had added up the ways of a change to its effect.
+// Guards against requests handled by state that is seconds old. The delays from a change to its effect had
+// not been added up.
 for (const { name, inTouchMs, leavingMs, applyMs } of deployments) {
   const settings = parseGatewaySettings(
     JSON.stringify({
@@ -42,12 +43,12 @@
   ];
   describe(`from a change to its effect (${name})`, () => {
     for (const { state, pauseMs, hangMs, boundMs } of states) {
-      test(`${state}: in time on a calm day`, () => {
+      test(`${state}: in time under normal conditions`, () => {
         assert.ok(pauseMs + LIST_MS <= boundMs);
       });
 
       test(`${state}: in time after a call that hung`, () => {
-        // the first probe is sent when the call is given up, and its answer wakes the watch.
+        // the first probe is sent when the call times out, and its answer wakes the watch.
         assert.ok(hangMs + LIST_MS <= inTouchMs, `${String(hangMs + LIST_MS)} ms`);
       });
     }
--- a/test/gateway/reportPeriod.test.ts
+++ b/test/gateway/reportPeriod.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { believedShortMs, reportPeriodMs } from '@flamingocourse/gateway';
+import { shortageTrustMs, reportPeriodMs } from '@flamingocourse/gateway';
 
-// the store's price eats up what a large fleet earns: each instance reported each second.
+// Guards against the cost of store calls using up the earnings of a large fleet, as when each instance
+// reported every second.
 describe('the report period', () => {
   const cases = [
     { instances: 1, periodMs: 1_000 },
@@ -18,9 +19,10 @@
   }
 });
 
-// foresters are refused for two seconds after another instance has given tokens back: this one believed
-// a page from before. In a large fleet the same question of each would fill the store's rate.
-describe('how long a page is believed that shows too few tokens', () => {
+// Guards against refusing requests for two seconds after another instance has returned tokens, because
+// this instance trusted an older page. In a large fleet, frequent fetches by every instance would exceed the
+// store's rate limit.
+describe('how long a page with too few tokens is trusted', () => {
   const cases = [
     { periodMs: 2_000, instances: 1, believedMs: 36 },
     { periodMs: 2_000, instances: 7, believedMs: 252 },
@@ -29,7 +31,7 @@
   ];
   for (const { periodMs, instances, believedMs } of cases) {
     test(`${String(instances)} instances: ${String(believedMs)} ms`, () => {
-      assert.equal(believedShortMs(periodMs, instances), believedMs);
+      assert.equal(shortageTrustMs(periodMs, instances), believedMs);
     });
   }
 });
--- a/test/gateway/storedObject.test.ts
+++ b/test/gateway/storedObject.test.ts
@@ -17,8 +17,8 @@
 };
 
 /**
- * A store whose stale reads show an object as it was when this was last told to remember, and where
- * another may write just before each update.
+ * A store whose stale reads return the object as of the last `remember` call. With `hasRival`, another
+ * writer updates the object just before each update.
  */
 class LaggingStore extends MemoryObjectStore {
   hasRival = false;
@@ -50,7 +50,7 @@
   }
 }
 
-/** Two instances with copies of one object. */
+/** Starts two instances with copies of one object. */
 async function start(): Promise<{
   store: LaggingStore;
   own: StoredObject<{ n: number }>;
@@ -66,9 +66,9 @@
 
 const addOne = ({ n }: { n: number }): { n: number } => ({ n: n + 1 });
 
-// an instance forgets what it has just written: it would report on an older page each time.
+// Guards against an instance that loses its own last write, and would report on an older page each time.
 describe('a stale read', () => {
-  test('never takes the copy back', async () => {
+  test('never replaces the copy by an older version', async () => {
     const { store, own } = await start();
     await store.remember();
     await own.change(addOne, 1);
@@ -77,7 +77,7 @@
     assert.deepEqual(own.value, { n: 1 });
   });
 
-  test('takes in what others wrote', async () => {
+  test('returns the writes of others', async () => {
     const { store, own, other } = await start();
     await other.change(addOne, 1);
     await store.remember();
@@ -87,7 +87,7 @@
 });
 
 describe('a change', () => {
-  test('is made again on what others wrote', async () => {
+  test('is repeated on the value that others wrote', async () => {
     const { own, other } = await start();
     await other.change(addOne, 1);
     assert.equal((await own.change(addOne, 2)).unwrapOr(undefined), 'written');
@@ -96,14 +96,14 @@
     assert.equal(own.takeConflicts(), 0);
   });
 
-  test('of nothing is not written', async () => {
+  test('without an effect is not written', async () => {
     const { own } = await start();
     const { version } = own;
     assert.equal((await own.change((value) => value, 1)).unwrapOr(undefined), 'unchanged');
     assert.equal(own.version, version);
   });
 
-  test('gives up when another is quicker each time', async () => {
+  test('gives up when every attempt conflicts', async () => {
     const { store, own } = await start();
     store.hasRival = true;
     assert.equal((await own.change(addOne, 1)).unwrapOr(undefined), 'busy');
@@ -111,7 +111,7 @@
     assert.equal((await own.change(addOne, 2)).unwrapOr(undefined), 'written');
   });
 
-  test('whose fate is not known is not built on', async () => {
+  test('with an unknown outcome invalidates the copy', async () => {
     const { store, own } = await start();
     store.faults.lostReplies = 1;
     assert.ok((await own.change(addOne, 1)).isErr);
