--- a/test/platform/arrivals.test.ts
+++ b/test/platform/arrivals.test.ts
@@ -3,13 +3,13 @@
 import { holdUp } from './holdUp.js';
 import { World, until } from './world.js';
 
-/** Time limit of the routes of this world, in milliseconds. */
+/** Timeout of the routes in milliseconds. */
 const ROUTE_MS = 1_500;
-/** Milliseconds by which an answer may miss it; the users allow half a second. */
+/** Milliseconds by which an answer may miss the timeout; the requirements allow half a second. */
 const SLACK_MS = 500;
 
-// Nobody can tell where a request lay for two seconds between its caller and its server.
-test('a request that lay unread says for how long at most', async (t) => {
+// Guards against delays that the log cannot explain, such as two seconds between caller and server.
+test('a request that waited unread logs an upper bound of the wait', async (t) => {
   const world = await World.start(t);
   const callers = Array.from({ length: 5 }, () => world.call({ path: '/look/1', method: 'GET' }));
   holdUp(600);
@@ -25,8 +25,8 @@
   assert.ok(Number(last?.fields.placedMs) <= Number(last?.fields.sentMs));
 });
 
-// A winch driver's entry is overdue at its route's limit and stays without an answer: its time began when it was read.
-test('the time of a request that lay unread counts from when it arrived', async (t) => {
+// Guards against answers after the timeout of the route, because the timeout started when the request was read.
+test('the timeout of a request that waited unread starts at its arrival', async (t) => {
   const world = await World.start(t);
   world.behave('p', 'silent');
   const sentAt = performance.now();
@@ -39,8 +39,8 @@
   assert.ok(tookMs >= ROUTE_MS - SLACK_MS && tookMs < ROUTE_MS + SLACK_MS, `${String(tookMs)} ms`);
 });
 
-// Requests go round a healthy server: its answer lay unread in an instance that was behind.
-test('a server whose answer had arrived is not taken for silent', async (t) => {
+// Guards against avoiding a healthy server because its answer waited unread in an overloaded instance.
+test('a server whose answer has arrived is not taken for silent', async (t) => {
   const world = await World.start(t);
   for (const server of world.servers)
     server.afterAnswer = () => {
@@ -50,8 +50,8 @@
   assert.equal(world.events.includes('server-silent'), false);
 });
 
-// A volunteer reads that the time is over beside an answer that was ready: the instance looked at the clock first.
-test('an answer that had arrived when the time of its request was over is delivered', async (t) => {
+// Guards against a timeout error although the answer had arrived, because the instance checked the clock first.
+test('an answer that arrived before the timeout of its request is delivered', async (t) => {
   const world = await World.start(t);
   for (const server of world.servers)
     server.afterAnswer = () => {
--- a/test/platform/callerLeaves.test.ts
+++ b/test/platform/callerLeaves.test.ts
@@ -5,13 +5,14 @@
 
 const generation = { 'X-Model': 'm', 'X-Token-Usage': '1000,80', 'X-Prompt-Prefix': 'a1:300' };
 
-// A server works for a caller who has left: what its request waited for was read before the end of its connection.
-describe('a request whose caller leaves in the moment in which its wait ends', () => {
+// Guards against servers that work for callers that have disconnected: the event that the request waited for
+// was processed before the end of the caller's connection.
+describe('a request whose caller disconnects at the moment its wait ends', () => {
   const kinds = [
     { kind: 'that may be repeated', path: '/look/1', servers: 'p', headers: {} },
     { kind: 'that must not be repeated', path: '/book/1', servers: 'p', headers: {} },
     { kind: 'for a generation', path: '/chat/1', servers: 'e', headers: generation },
-    { kind: 'for a generation to go on', path: '/draft/1', servers: 'e', headers: generation },
+    { kind: 'for a resumable generation', path: '/draft/1', servers: 'e', headers: generation },
   ] as const;
   for (const { kind, path, servers, headers } of kinds) {
     test(`${kind}, for a connection, reaches no server`, async (t) => {
@@ -33,7 +34,7 @@
     });
   }
 
-  test('for an answer after which it goes to another server, reaches no other', async (t) => {
+  test('for an answer after which it would be retried, reaches no other server', async (t) => {
     const world = await World.start(t);
     const warm = Array.from({ length: 10 }, () => world.call({ path: '/look/1', method: 'GET' }));
     await Promise.all(warm);
@@ -57,7 +58,7 @@
     let granted = false;
     world.store.afterChange = (kind) => {
       if (kind === 'prepaid-budgets') granted = true;
-      // the tokens are here once its page says so.
+      // the tokens are available after the write to the page.
       else if (granted) caller.destroy();
     };
     await until('it has ended', () => world.ended('gone') === 1);
--- a/test/platform/crashingRequest.test.ts
+++ b/test/platform/crashingRequest.test.ts
@@ -11,8 +11,8 @@
 /** Rounds in which the caller sends the request to each instance once. */
 const ROUNDS = 6;
 const REPEAT_MS = 100;
-/** Servers that one request may end: three, and three more until all know of it. */
-const MOST_ENDED = 6;
+/** Servers that one request may crash: three, and three more until all instances know of it. */
+const MAX_CRASHED = 6;
 
 /** How a request crashes the servers that run it. */
 interface Case {
@@ -33,56 +33,56 @@
 
 describe('a request that crashes each server that runs it', { concurrency: 2 }, () => {
   for (const { name, path, moment } of cases) {
-    // Each instance lets the request end servers until it has found out by itself, so servers go down one after the other.
-    test(`is stopped at all instances once three servers have ended: ${name}`, async (t) => {
+    // Guards against instances that each let the request crash servers until they find the cause on their own.
+    test(`is stopped at all instances once three servers have crashed: ${name}`, async (t) => {
       await withFleet(t, moment, async (fleet) => {
         await sendRounds(fleet, path, ROUNDS);
-        const ended = endedBy(fleet);
-        assert.ok(ended >= 1 && ended <= MOST_ENDED, `${String(ended)} servers ended`);
+        const crashed = crashedServers(fleet);
+        assert.ok(crashed >= 1 && crashed <= MAX_CRASHED, `${String(crashed)} servers crashed`);
       });
     });
   }
 
-  // An instance that starts anew knows nothing of the request and lets it end more servers.
+  // Guards against a new instance that does not know of the request and lets it crash more servers.
   test('is refused by an instance that has just joined', async (t) => {
     await withFleet(t, 'after-head', async (fleet) => {
       await sendRounds(fleet, '/draft/a', ROUNDS);
-      const ended = endedBy(fleet);
+      const crashed = crashedServers(fleet);
       const [first] = fleet;
       assert.ok(first);
       const joined = await first.join(t, 'edge-new', { mesh: true });
       const answer = await joined.call({ path: '/draft/a', body: CRASHING_BODY });
       assert.equal(answer.status, 503);
-      // the caller is told when it is worth coming back.
+      // retry-after is set to a useful time.
       const retryAfter = Number(answer.headers['retry-after']);
       assert.ok(retryAfter > 30 && retryAfter <= 600, `${String(retryAfter)} s`);
-      assert.equal(endedBy(fleet), ended);
+      assert.equal(crashedServers(fleet), crashed);
       const lines = joined.log.events.filter(({ event }) => event === 'request-ended');
       assert.equal(lines.filter(({ fields }) => fields.fingerprint !== undefined).length, 1);
       await joined.stop();
     });
   });
 
-  // After a loss of all instances nobody knows of the request, and it ends servers again.
-  test('is refused when all instances have started anew', async (t) => {
+  // Guards against losing the cause when all instances end, so that the request crashes servers again.
+  test('is refused when all instances have restarted', async (t) => {
     await withFleet(t, 'after-head', async (fleet) => {
       await sendRounds(fleet, '/draft/a', ROUNDS);
-      const ended = endedBy(fleet);
+      const crashed = crashedServers(fleet);
       const [first] = fleet;
       assert.ok(first);
-      await until('the cause is kept', () => first.store.names('fleet-causes').length > 0);
+      await until('the cause is stored', () => first.store.names('fleet-causes').length > 0);
       await Promise.all(fleet.map((instance) => instance.stop()));
       const joined = await first.join(t, 'edge-new', { mesh: true });
-      await until('it was heard of', () => joined.events.includes('request-quarantined'));
+      await until('the cause is known', () => joined.events.includes('request-quarantined'));
       const answer = await joined.call({ path: '/draft/a', body: CRASHING_BODY });
       assert.equal(answer.status, 503);
-      assert.equal(endedBy(fleet), ended);
+      assert.equal(crashedServers(fleet), crashed);
       await joined.stop();
     });
   });
 
-  // Requests that were in flight beside it are refused as causes, though they never crash a server.
-  test('leaves the requests beside it alone', async (t) => {
+  // Guards against refusing requests that were only in flight at the same time and never crash a server.
+  test('does not affect other requests in flight', async (t) => {
     await withFleet(t, 'after-head', async (fleet) => {
       const others = sendOthers(fleet, ROUNDS * INSTANCES);
       await sendRounds(fleet, '/draft/a', ROUNDS);
@@ -90,12 +90,15 @@
       await delay(400);
       const after = await sendOthers(fleet, 1);
       assert.deepEqual(after, Array<number>(INSTANCES).fill(200));
-      assert.ok(endedBy(fleet) <= MOST_ENDED, `${String(endedBy(fleet))} servers ended`);
+      assert.ok(
+        crashedServers(fleet) <= MAX_CRASHED,
+        `${String(crashedServers(fleet))} servers crashed`,
+      );
     });
   });
 });
 
-/** Runs a check beside a fleet, and stops the fleet while its store still answers. */
+/** Runs a check with a fleet, and stops the fleet while its store still answers. */
 async function withFleet(
   t: TestContext,
   moment: CrashMoment,
@@ -109,7 +112,7 @@
   }
 }
 
-/** Instances of two data centres, and servers of both services that such a request brings down. */
+/** Starts instances in two data centres, and servers of both services that such a request crashes. */
 async function startFleet(t: TestContext, moment: CrashMoment): Promise<World[]> {
   const first = await World.start(t, undefined, { mesh: true });
   for (const kind of ['p', 'e']) {
@@ -128,7 +131,7 @@
   return fleet;
 }
 
-/** Lists a server, and again under its new id after each crash. */
+/** Adds a server to the list, and adds it again under its new id after each crash. */
 function restartUnder({ store }: World, server: UsersServer, moment: CrashMoment): void {
   const service = server.name.startsWith('p') ? 'ledger' : 'llm';
   let listed = server.id;
@@ -142,7 +145,7 @@
   };
 }
 
-/** The caller sends the request again and again, each time to the next instance. */
+/** Sends the request repeatedly, each time to the next instance. */
 async function sendRounds(fleet: readonly World[], path: string, rounds: number): Promise<void> {
   for (let round = 0; round < rounds; round += 1) {
     for (const instance of fleet) {
@@ -152,7 +155,7 @@
   }
 }
 
-/** Other callers' streams, one at each instance in each round; returns their statuses. */
+/** Sends streams of other callers, one to each instance in each round. Returns their statuses. */
 async function sendOthers(fleet: readonly World[], rounds: number): Promise<number[]> {
   const sent: Promise<number>[] = [];
   for (let round = 0; round < rounds; round += 1) {
@@ -165,7 +168,7 @@
   return Promise.all(sent);
 }
 
-/** Servers that the request has brought down. */
-function endedBy([first]: readonly World[]): number {
+/** Number of servers that the request has crashed. */
+function crashedServers([first]: readonly World[]): number {
   return first ? first.servers.reduce((sum, { crashed }) => sum + crashed, 0) : 0;
 }
--- a/test/platform/earlySignals.test.ts
+++ b/test/platform/earlySignals.test.ts
@@ -6,9 +6,9 @@
 
 const module = fileURLToPath(new URL('../../platform/src/earlySignals.ts', import.meta.url));
 
-// volunteers are refused for a second: the settings file changed while an instance was starting, and the
-// hang-up that told of it ended the process, because its handler came only with the rest of the program.
-describe('a hang-up before the program has started', () => {
+// Guards against a process that SIGHUP ends during its start. The settings file changed while an instance was
+// starting, and the handler of the signal was only installed later. Callers were refused for a second.
+describe('a SIGHUP before the program has started', () => {
   const cases = [
     { name: 'is remembered', signals: 2, expected: 'true' },
     { name: 'is not made up', signals: 0, expected: 'false' },
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -61,8 +61,8 @@
 });
 
 describe('an answer that may not be passed on', () => {
-  // a family is told that its reservation has not run, reads somebody else's answer, or gets its bed
-  // booked twice.
+  // Guards against a caller that is told its request has not run although it has, receives the answer to
+  // another request, or has a request executed twice.
   const cases = [
     { behaviour: 'shed', path: '/book/1', status: 503, runs: 'many' },
     { behaviour: 'reset', path: '/book/1', status: 502, runs: 1 },
@@ -96,9 +96,9 @@
   }
 });
 
-test('failures that nothing may follow use up nothing of the allowance', async (t) => {
-  // while a server resets connections, lookups fail that another server would have answered: each
-  // reservation that failed took one of the few further attempts and never made it.
+test('failures that must not be retried do not use the retry budget', async (t) => {
+  // Guards against failed requests that take one of the few retries without making it. While a server
+  // resets connections, other requests then fail although another server would have answered them.
   const world = await World.start(t);
   assert.ok(world.settings);
   world.reload({ ...world.settings, retries: { ratio: 0, slack: 2, windowMs: 60_000 } });
@@ -109,8 +109,8 @@
 });
 
 describe('a stream whose server breaks off in the middle of an event', () => {
-  // a volunteer's draft stops half way, or has a sentence twice where another server went on.
-  test('goes on at another server without a seam', async (t) => {
+  // Guards against a stream that ends half way, or repeats text where another server resumed it.
+  test('is resumed at another server without a gap or a repetition', async (t) => {
     const world = await World.start(t);
     world.server('e1').behaviour = 'break-stream';
     world.server('e2').behaviour = 'stream';
@@ -131,7 +131,7 @@
     assert.equal(answer.complete, false);
     assert.equal(answer.body, event(1));
     assert.equal(world.seen('e').length, 1);
-    // one line and one count, or an engineer takes one failure for two.
+    // exactly one log line and one count, so that one failure is not taken for two.
     const failed = world.log.events.filter(({ event: name }) => name === 'attempt-failed');
     assert.deepEqual(
       failed.map(({ fields }) => [fields.failed, fields.events]),
@@ -142,16 +142,16 @@
   });
 });
 
-// a volunteer hangs up, and the server goes on working for nobody.
-test('a caller that leaves is cancelled at the server', async (t) => {
+// Guards against a server that continues to work for a caller that has disconnected.
+test('the request of a caller that disconnects is cancelled at the server', async (t) => {
   const world = await World.start(t);
   world.behave('p', 'silent');
   await world.call({ path: '/book/1', leaveMs: 60 });
   await until('cancelled', () => world.servers.some(({ dropped }) => dropped === 1));
 });
 
-// a volunteer's lookup is worked on after its caller gave up, because a busy instance read it two seconds late.
-describe('a request whose caller left before it was read', () => {
+// Guards against processing a request after its caller gave up, because a busy instance read it two seconds late.
+describe('a request whose caller disconnected before it was read', () => {
   const kinds = [
     { name: 'that may be repeated', path: '/look/1', server: 'p' },
     { name: 'that must not be repeated', path: '/book/1', server: 'p' },
@@ -161,7 +161,7 @@
     test(`${name} reaches no server`, async (t) => {
       const world = await World.start(t);
       world.behave('e', 'stream');
-      // over connections that are open already nothing delays what is sent on.
+      // over connections that are already open, requests are forwarded without delay.
       await Promise.all(Array.from({ length: 10 }, () => world.call({ path })));
       const before = world.seen(server).length;
       for (let sent = 0; sent < 5; sent += 1) await world.sendAndLeave(path);
@@ -171,9 +171,9 @@
   }
 });
 
-// a duty pilot's chat breaks off half way: the balancer found too few instances ready and went on sending
-// to one that was told to stop six seconds before, which took the chat and cut it at its end.
-test('a planned stop takes nothing that it could not finish', async (t) => {
+// Guards against a stopping instance that accepts a stream and cuts it off at its end. The load balancer found too
+// few ready instances and continued to send to one that had been told to stop six seconds earlier.
+test('a planned stop accepts nothing that it could not finish', async (t) => {
   const slow = { timeout_ms: 8_000, kind: 'non_idempotent', service: 'ledger', public: true };
   const route = { ...slow, name: 'book', hostname: 'shop.example', path_prefix: '/book/' };
   const world = await World.start(t, configWith({ routes: [route] }));
@@ -191,7 +191,7 @@
   assert.notEqual((await running).status, 200);
 });
 
-test('each request leaves one line with what decided it, and counts in the metrics', async (t) => {
+test('each request writes one log line with its outcome, and is counted in the metrics', async (t) => {
   const world = await World.start(t);
   await world.call({ path: '/look/1', method: 'GET' });
   const ended = world.log.events.filter(({ event: name }) => name === 'request-ended');
--- a/test/platform/holdUp.ts
+++ b/test/platform/holdUp.ts
@@ -1,4 +1,4 @@
-/** Keeps the process from everything else, as one that gets no processor time. */
+/** Blocks the event loop for a time, like a process that gets no CPU time. */
 export function holdUp(ms: number): void {
   const end = performance.now() + ms;
   while (performance.now() < end);
--- a/test/platform/prepaid.test.ts
+++ b/test/platform/prepaid.test.ts
@@ -20,8 +20,8 @@
     assert.equal(world.seen('e').length, answered);
   });
 
-  // volunteers are refused in every cut although the budget is nearly full.
-  test('is spent from the slice in hand while the store is silent', async (t) => {
+  // Guards against refusing requests whenever the store is cut off, although most of the budget is left.
+  test('is spent from the tokens held while the store is silent', async (t) => {
     const world = await World.start(t);
     world.behave('e', 'stream');
     for (let n = 0; n < 4; n += 1) await world.generate('/chat/1', 1_000);
@@ -32,7 +32,7 @@
     assert.deepEqual(new Set(statuses), new Set([200]));
   });
 
-  test('is refused with 503, not 402, when only the store could tell', async (t) => {
+  test('is refused with 503, not 402, when only the store knows the remaining budget', async (t) => {
     const world = await World.start(t);
     world.behave('e', 'stream');
     world.store.fault = 'silent';
@@ -44,9 +44,9 @@
     assert.ok(Number(answer.headers['retry-after']) > 0);
   });
 
-  // all callers of one account came in at an instance that was cut off, and were refused for twelve seconds
-  // beside instances that could serve them.
-  test('that is out of reach sends callers to other instances until it is back', async (t) => {
+  // Guards against refusing the requests of an account for twelve seconds because all of them arrive at an instance
+  // that is cut off, while other instances could serve them.
+  test('that is unreachable diverts callers to other instances until it is reachable', async (t) => {
     const world = await World.start(t);
     world.behave('e', 'stream');
     world.store.fault = 'silent';
@@ -67,9 +67,9 @@
     await until('served', async () => (await world.generate('/chat/1', 90_000)).status === 200);
   });
 
-  test('is refused, not waited for, while the store answers nothing', async (t) => {
-    // volunteers see nothing until they hang up: their calls waited for tokens from a store that had
-    // gone silent a moment ago, and neither the time limit nor the hang-up ended the wait.
+  test('is refused without a long wait while the store does not answer', async (t) => {
+    // Guards against requests that keep waiting for tokens from a store that has just become silent: neither
+    // their timeout nor the disconnect of their callers ended the wait.
     const store = { timeoutMs: 8_000, watchIdleMs: 9_000, configurationIdleMs: 9_000 };
     const world = await World.start(t, configWith(), { store });
     world.store.fault = 'silent';
@@ -94,9 +94,9 @@
   });
 });
 
-// each change of the configuration made all instances report in the same moment: their reports conflicted
-// with each other up to seventeen times, and a sixth of all calls to the store was for nothing.
-test('only new limits make an instance report, and not all in the same moment', async (t) => {
+// Guards against all instances reporting at the same time after each configuration change. Their reports
+// conflicted up to 17 times, and a sixth of all store calls was wasted.
+test('only new limits make an instance report, and instances do not report at the same time', async (t) => {
   const world = await World.start(t, configWith(), { prepaid: { reportMs: 60_000 } });
   await until('reported', () => world.events.includes('prepaid-reported'));
   const calls = (): number => world.store.calls.filter((kind) => kind === 'prepaid-pages').length;
@@ -114,8 +114,8 @@
   await until('reported again', () => calls() > before);
 });
 
-// at rest each instance would carry its page, of up to 12 KB, over its link every two seconds.
-test('an instance without news does not ask for its page', async (t) => {
+// Guards against idle instances that each transfer their page of up to 12 KB every two seconds.
+test('an instance with nothing to report does not read its page', async (t) => {
   const world = await World.start(t, configWith(), { prepaid: { reportMs: 50 } });
   await until('reported', () => world.events.includes('prepaid-reported'));
   const calls = (): number => world.store.calls.filter((kind) => kind === 'prepaid-pages').length;
@@ -124,8 +124,8 @@
   assert.equal(calls(), before);
 });
 
-// a donor's listing is lost because an instance was replaced while it was written.
-test('a planned stop is not ready at once and finishes what runs', async (t) => {
+// Guards against losing a request that is running while its instance is replaced.
+test('a planned stop reports not ready at once and finishes running requests', async (t) => {
   const world = await World.start(t);
   const running = world.call({ path: '/book/1' });
   const stopped = world.stop();
@@ -143,11 +143,11 @@
   assert.equal(granted - returned, gone, 'the group, left by all, holds nothing');
 });
 
-// replaced instances that nobody takes out fill the groups, and what they held lies idle.
+// Guards against replaced instances that are never removed: they fill the groups, and their tokens stay unused.
 describe('an instance that is silent for long', () => {
   const silent = { prepaid: { silentMs: 700, tendMs: 100 } };
 
-  test('is taken out by another of its group, and what it held is in doubt', async (t) => {
+  test('is removed by another instance of its group, and its tokens become in doubt', async (t) => {
     const world = await World.start(t, configWith(), silent);
     world.behave('e', 'stream');
     await world.generate('/chat/1', 1_000);
@@ -165,7 +165,7 @@
     assert.deepEqual(Object.keys(after.writers), ['edge-1']);
   });
 
-  test('goes on when it comes back, with tokens that it fetches anew', async (t) => {
+  test('continues with newly fetched tokens when it is back', async (t) => {
     const world = await World.start(t);
     world.behave('e', 'stream');
     await world.generate('/chat/1', 1_000);
@@ -188,9 +188,9 @@
   };
 }
 
-// a shop is refused with 402 although none of its calls was answered: each that its servers lost was
-// charged with its prompt.
-test('a call of which the account got nothing is not charged', async (t) => {
+// Guards against refusing an account with 402 although none of its requests was answered, because the prompt
+// of each request that its servers lost was charged.
+test('a request that delivered nothing is not charged', async (t) => {
   const world = await World.start(t);
   world.behave('e', 'reset');
   for (let n = 0; n < 4; n += 1) {
--- a/test/platform/rateLimit.test.ts
+++ b/test/platform/rateLimit.test.ts
@@ -5,26 +5,26 @@
 import { World, until } from './world.js';
 
 const INSTANCES = 4;
-/** Milliseconds between two requests of the callers of one instance. */
+/** Milliseconds between two requests to one instance. */
 const REQUEST_EVERY_MS = 80;
-/** Milliseconds after which an answer that names a limit binds the instance that got it. */
+/** Milliseconds within which an instance must apply a limit that it received with an answer. */
 const BINDING_MS = 600;
-/** Milliseconds of any stretch for which the limit is judged. */
+/** Length in milliseconds of each window in which the limit is checked. */
 const WINDOW_MS = 4_000;
 const MS_PER_SECOND = 1_000;
 
-/** Most requests that may reach a server in a window, from all instances that it told its limit. */
-function allowed(perSecond: number): number {
+/** Maximum number of requests that may reach a server in a window, from all instances that know its limit. */
+function maxAllowed(perSecond: number): number {
   return (1.5 * perSecond * WINDOW_MS) / MS_PER_SECOND + 5;
 }
 
-/** Most of these times that lie in one window. */
-function mostInWindow(times: readonly number[]): number {
+/** Maximum number of these times within one window. */
+function maxInWindow(times: readonly number[]): number {
   const inWindow = times.map((from) => times.filter((at) => at >= from && at < from + WINDOW_MS));
   return Math.max(0, ...inWindow.map((found) => found.length));
 }
 
-/** Some instances, each with callers that send all the time. */
+/** Starts several instances, each with callers that send requests continuously. */
 async function startFleet(t: TestContext): Promise<World[]> {
   const first = await World.start(t);
   const names = Array.from({ length: INSTANCES - 1 }, (_, at) => `edge-${String(at + 2)}`);
@@ -44,11 +44,11 @@
   return fleet;
 }
 
-describe('a server that names a limit gets no more than it from all instances together', () => {
-  // guards against instances that don't read the limit, or that each use the whole of it.
+describe('a server that reports a rate limit gets no more requests from all instances together', () => {
+  // Guards against instances that do not read the limit, or that each use all of it.
   const cases = [
     { name: 'while it answers', behaviour: 'answer', perSecond: 1 },
-    { name: 'while it turns requests away', behaviour: 'shed', perSecond: 0.5 },
+    { name: 'while it rejects requests', behaviour: 'shed', perSecond: 0.5 },
   ] as const;
   for (const { name, behaviour, perSecond } of cases) {
     test(`limited server ${name}`, async (t) => {
@@ -57,25 +57,25 @@
       assert.ok(server);
       server.behaviour = behaviour;
       server.rateLimit = String(perSecond);
-      await until('all are told', () => {
+      await until('all know the limit', () => {
         return fleet.every(({ events }) => events.includes('server-rate-limit'));
       });
       await delay(BINDING_MS);
       const from = performance.now();
       await delay(WINDOW_MS + BINDING_MS);
       const times = server.seen.map(({ at }) => at).filter((at) => at >= from);
-      const most = mostInWindow(times);
-      assert.ok(most <= allowed(perSecond), `${String(most)} requests in a window`);
+      const most = maxInWindow(times);
+      assert.ok(most <= maxAllowed(perSecond), `${String(most)} requests in a window`);
     });
   }
 });
 
-// guards against callers that wait up to their time limit for servers that are known to take nothing now.
-test('while all servers limit requests a caller is told at once when to come back', async (t) => {
+// Guards against callers that wait until their timeout for servers that are known to accept nothing now.
+test('while all servers limit requests, a caller is refused at once with a retry time', async (t) => {
   const world = await World.start(t);
   for (const id of ['p1', 'p2']) world.server(id).rateLimit = '0.5';
   const call = (): ReturnType<World['call']> => world.call({ path: '/look/1', method: 'GET' });
-  await until('both told', async () => {
+  await until('both limits are known', async () => {
     await call();
     return world.events.filter((event) => event === 'server-rate-limit').length === 2;
   });
--- a/test/platform/serverDialect.test.ts
+++ b/test/platform/serverDialect.test.ts
@@ -33,14 +33,15 @@
   };
 }
 
-/** Names, in lower case, of what is passed on of a request with these headers. */
-function passedOn(raw: string[]): string[] {
+/** Names, in lower case, of the headers that are forwarded for a request with these headers. */
+function forwardedHeaders(raw: string[]): string[] {
   const headers = servers.attemptHeaders(callHead(raw), details);
   return headers.filter((_, at) => at % 2 === 0).map((name) => name.toLowerCase());
 }
 
-// guards against a caller that holds a server's places or memory, or sends it to another's, by a header of its own.
-describe('an order to a server in a request of a caller is not passed on', () => {
+// Guards against a caller that occupies the slots or memory of a server, or redirects the server to another, with
+// a header of its own.
+describe('a control header for servers in a request of a caller is not forwarded', () => {
   const cases = [
     { name: 'X-Hold', value: 'h-1' },
     { name: 'x-hold', value: '' },
@@ -61,7 +62,7 @@
   ];
   for (const { name, value } of cases) {
     test(`${name}: ${value}`, () => {
-      const passed = passedOn(['Accept', '*/*', name, value, name, value]);
+      const passed = forwardedHeaders(['Accept', '*/*', name, value, name, value]);
       const own = ['x-expect-instance', 'x-tenant'].includes(name.toLowerCase()) ? 1 : 0;
       assert.equal(passed.filter((other) => other === name.toLowerCase()).length, own);
       assert.ok(passed.includes('accept'));
@@ -69,7 +70,7 @@
   }
 });
 
-describe('a server is told where it may copy the prompt from, by this side only', () => {
+describe('only the gateway tells a server where to copy the prompt from', () => {
   for (const copyFrom of [undefined, '10.128.0.9:8080']) {
     test(copyFrom ?? 'nowhere', () => {
       const head = callHead(['Kv-Fetch', '10.9.9.9:1']);
@@ -80,21 +81,21 @@
   }
 });
 
-describe('what says something of the request itself is passed on', () => {
+describe('a header that describes the request itself is forwarded', () => {
   const cases = ['X-Model', 'X-Token-Usage', 'X-Prompt-Prefix', 'X-Length-Hint', 'X-Request-Id'];
   for (const name of cases) {
     test(name, () => {
-      assert.ok(passedOn([name, 'value']).includes(name.toLowerCase()));
+      assert.ok(forwardedHeaders([name, 'value']).includes(name.toLowerCase()));
     });
   }
 });
 
-describe('the limit of requests a second that an answer names', () => {
-  const cases: readonly { header: string | string[] | undefined; told: ToldRateLimit }[] = [
-    { header: undefined, told: { type: 'none' } },
-    { header: '1.8', told: { type: 'limit', perSecond: 1.8 } },
-    { header: ' 12 ', told: { type: 'limit', perSecond: 12 } },
-    { header: '0.05', told: { type: 'limit', perSecond: 0.05 } },
+describe('the rate limit in an answer', () => {
+  const cases: readonly { header: string | string[] | undefined; expected: ToldRateLimit }[] = [
+    { header: undefined, expected: { type: 'none' } },
+    { header: '1.8', expected: { type: 'limit', perSecond: 1.8 } },
+    { header: ' 12 ', expected: { type: 'limit', perSecond: 12 } },
+    { header: '0.05', expected: { type: 'limit', perSecond: 0.05 } },
     ...[
       '',
       '0',
@@ -108,19 +109,22 @@
       '1.8, 1.8',
       '.',
       '12345678',
-    ].map((header) => ({ header, told: { type: 'invalid' as const, text: header } })),
-    { header: ['1.8', '2.0'], told: { type: 'invalid', text: '1.8,2.0' } },
-    { header: 'x'.repeat(500), told: { type: 'invalid', text: 'x'.repeat(40) } },
+    ].map((header) => ({ header, expected: { type: 'invalid' as const, text: header } })),
+    { header: ['1.8', '2.0'], expected: { type: 'invalid', text: '1.8,2.0' } },
+    { header: 'x'.repeat(500), expected: { type: 'invalid', text: 'x'.repeat(40) } },
   ];
-  for (const { header, told } of cases) {
-    test(`${String(header).slice(0, 30)}: ${told.type}`, () => {
+  for (const { header, expected } of cases) {
+    test(`${String(header).slice(0, 30)}: ${expected.type}`, () => {
       const headers = header === undefined ? {} : { 'server-limit': header };
-      assert.deepEqual(servers.notice({ status: 200, headers, rawHeaders: [] }).rateLimit, told);
+      assert.deepEqual(
+        servers.notice({ status: 200, headers, rawHeaders: [] }).rateLimit,
+        expected,
+      );
     });
   }
 });
 
-describe('the rest that an answer asks for', () => {
+describe('the pause that an answer asks for', () => {
   const cases: readonly { name: string; status?: number; texts: string[]; rest: ToldRest }[] = [
     { name: 'none', texts: [], rest: { type: 'none' } },
     { name: 'whole seconds', texts: ['3'], rest: { type: 'rest', ms: 3_000 } },
@@ -141,7 +145,7 @@
   }
 });
 
-test('a server says in any answer that it leaves', () => {
+test('a server can announce in any answer that it is leaving', () => {
   for (const status of [200, 500, 503]) {
     const headers = { 'server-leaving': '1' };
     assert.equal(servers.notice({ status, headers, rawHeaders: [] }).leaving, true);
@@ -149,41 +153,46 @@
   }
 });
 
-describe('the word of a server that is asked for its status', () => {
+describe('the answer of a server to a health probe', () => {
   const cases: readonly {
     name: string;
     status: number;
     headers: Record<string, string>;
-    word: ServerWord;
+    expected: ServerWord;
   }[] = [
-    { name: 'is well', status: 200, headers: { 'x-instance-id': 's1' }, word: 'staying' },
-    { name: 'is leaving', status: 503, headers: { 'x-instance-id': 's1' }, word: 'leaving' },
-    { name: 'is leaving, without a name', status: 503, headers: {}, word: 'leaving' },
+    { name: 'is well', status: 200, headers: { 'x-instance-id': 's1' }, expected: 'staying' },
+    { name: 'is leaving', status: 503, headers: { 'x-instance-id': 's1' }, expected: 'leaving' },
+    { name: 'is leaving, without a name', status: 503, headers: {}, expected: 'leaving' },
     {
       name: 'is too full to answer',
       status: 503,
       headers: { 'x-not-executed': '1', 'x-instance-id': 's1' },
-      word: 'unknown',
+      expected: 'unknown',
     },
-    { name: 'is another', status: 200, headers: { 'x-instance-id': 's2' }, word: 'gone' },
     {
-      name: 'is another, and leaving',
+      name: 'is another server',
+      status: 200,
+      headers: { 'x-instance-id': 's2' },
+      expected: 'gone',
+    },
+    {
+      name: 'is another server and leaving',
       status: 503,
       headers: { 'x-instance-id': 's2' },
-      word: 'gone',
+      expected: 'gone',
     },
     {
-      name: 'turns a question away that is meant for another',
+      name: 'rejects a probe that is meant for another server',
       status: 421,
       headers: { 'x-not-executed': '1' },
-      word: 'gone',
+      expected: 'gone',
     },
-    { name: 'does not name itself', status: 200, headers: {}, word: 'unknown' },
-    { name: 'fails', status: 500, headers: { 'x-instance-id': 's1' }, word: 'unknown' },
+    { name: 'does not name itself', status: 200, headers: {}, expected: 'unknown' },
+    { name: 'fails', status: 500, headers: { 'x-instance-id': 's1' }, expected: 'unknown' },
   ];
-  for (const { name, status, headers, word } of cases) {
-    test(`${word}: it ${name}`, () => {
-      assert.equal(servers.judgeHealth('s1', { status, headers, rawHeaders: [] }), word);
+  for (const { name, status, headers, expected } of cases) {
+    test(`${expected}: it ${name}`, () => {
+      assert.equal(servers.judgeHealth('s1', { status, headers, rawHeaders: [] }), expected);
     });
   }
 });
--- a/test/platform/serverNotices.test.ts
+++ b/test/platform/serverNotices.test.ts
@@ -3,17 +3,17 @@
 import { describe, test } from 'node:test';
 import { World, until } from './world.js';
 
-const REST_SECONDS = '2';
-const REST_MS = 2_000;
-/** Requests that may reach a server in its rest; none should. */
-const MOST_IN_REST = 0;
+const PAUSE_SECONDS = '2';
+const PAUSE_MS = 2_000;
+/** Maximum number of requests that may reach a server during its pause. */
+const MAX_REQUESTS_IN_PAUSE = 0;
 
-// Requests reach a server seconds after its own answer said that it leaves; they fail when it ends.
-describe('a server that says in an answer that it leaves gets no new work', () => {
+// Guards against requests sent to a server seconds after it announced that it is leaving. They fail when it ends.
+describe('a server that announces in an answer that it is leaving gets no new requests', () => {
   const cases = [
-    { name: 'told with an answer', behaviour: 'answer' },
-    { name: 'told with a failure', behaviour: 'error' },
-    { name: 'told with a request turned away', behaviour: 'shed' },
+    { name: 'announced with an answer', behaviour: 'answer' },
+    { name: 'announced with a failure', behaviour: 'error' },
+    { name: 'announced with a rejected request', behaviour: 'shed' },
   ] as const;
   for (const { name, behaviour } of cases) {
     test(`leaving server ${name}`, async (t) => {
@@ -21,11 +21,11 @@
       const server = world.server('p1');
       server.behaviour = behaviour;
       server.saysLeaving = true;
-      await until('told', async () => {
+      await until('announced', async () => {
         await world.call({ path: '/look/1', method: 'GET' });
         return server.seen.length > 0;
       });
-      // its entry lapses and comes back, as while the store is away.
+      // its entry expires and is written again, as during an outage of the store.
       world.store.remove('servers', 'p1');
       await delay(400);
       world.store.put('servers', 'p1', server.entry('ledger'));
@@ -45,7 +45,7 @@
     world.store.put('servers', 'p1', server.entry('ledger', { born: 500 }));
     await delay(400);
     server.saysLeaving = true;
-    await until('told', async () => {
+    await until('announced', async () => {
       await world.call({ path: '/look/1', method: 'GET' });
       return server.seen.length > 0;
     });
@@ -59,24 +59,25 @@
   });
 });
 
-// A server that sheds load answers fastest, draws the next requests, and their callers are refused.
-describe('a server that turned a request away and asked for rest', () => {
-  test('resting server gets nothing in its rest, and callers are served elsewhere', async (t) => {
+// Guards against a server that sheds load and, because its rejections are the fastest answers, attracts the
+// next requests, so that their callers are refused.
+describe('a server that rejected a request and asked for a pause', () => {
+  test('gets no requests during the pause, and callers are served by other servers', async (t) => {
     const world = await World.start(t);
     const server = world.server('p1');
     server.behaviour = 'shed';
-    server.rest = REST_SECONDS;
-    await until('told', async () => {
+    server.rest = PAUSE_SECONDS;
+    await until('announced', async () => {
       await world.call({ path: '/look/1', method: 'GET' });
       return server.seen.length > 0;
     });
-    const end = (server.seen[0]?.at ?? 0) + REST_MS;
+    const end = (server.seen[0]?.at ?? 0) + PAUSE_MS;
     while (performance.now() < end) {
       const answer = await world.call({ path: '/look/1', method: 'GET' });
       assert.equal(answer.status, 200);
     }
-    const inRest = server.seen.slice(1).filter(({ at }) => at < end).length;
-    assert.ok(inRest <= MOST_IN_REST, `${String(inRest)} came`);
+    const inPause = server.seen.slice(1).filter(({ at }) => at < end).length;
+    assert.ok(inPause <= MAX_REQUESTS_IN_PAUSE, `${String(inPause)} requests during the pause`);
     server.behaviour = 'answer';
     await until('back', async () => {
       await world.call({ path: '/look/1', method: 'GET' });
@@ -84,11 +85,11 @@
     });
   });
 
-  test('callers are told when the first of all resting servers is back', async (t) => {
+  test('if all servers pause, callers are told when the first pause ends', async (t) => {
     const world = await World.start(t);
     world.behave('p', 'shed');
-    for (const id of ['p1', 'p2']) world.server(id).rest = REST_SECONDS;
-    await until('all rest', async () => {
+    for (const id of ['p1', 'p2']) world.server(id).rest = PAUSE_SECONDS;
+    await until('all pause', async () => {
       await world.call({ path: '/look/1', method: 'GET' });
       return world.seen('p').length >= 2;
     });
--- a/test/platform/usersServer.ts
+++ b/test/platform/usersServer.ts
@@ -1,4 +1,4 @@
-/** A small stand-in of one of the users' servers, plain or model engine. */
+/** A fake backend server, either plain or a model engine. */
 
 import type { IncomingHttpHeaders, IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -6,15 +6,15 @@
 import { createServer } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
 
-/** A request as the server saw it. */
+/** A request as the server received it. */
 export interface SeenRequest {
   method: string;
   url: string;
   headers: IncomingHttpHeaders;
   body: string;
-  /** Milliseconds of the process's steady clock. */
+  /** Time of the monotonic clock in milliseconds. */
   at: number;
-  /** Whether the server began to work on it; what it turned away did not run. */
+  /** Whether the server started to process it; a rejected request did not run. */
   ran: boolean;
 }
 
@@ -22,44 +22,44 @@
 export type Behaviour =
   | 'answer'
   | 'stream'
-  /** Breaks off in the middle of the second event. */
+  /** Resets the connection in the middle of the second event. */
   | 'break-stream'
   | 'shed'
   | 'error'
-  /** Says 503 without saying that the request has not run. */
+  /** Answers 503 without stating that the request has not run. */
   | 'unmarked-503'
   | 'other-id'
   | 'no-proof'
   | 'encoded'
   | 'reset'
-  /** Keeps the request until it is released, and streams then. */
+  /** Holds the request until `release` is called, then streams. */
   | 'hold'
   | 'silent';
 
-/** When a request that crashes its servers brings one down. */
+/** When a crashing request ends the server. */
 export type CrashMoment = 'before-head' | 'after-head';
 
 /** Body of the requests that crash a server. */
 export const CRASHING_BODY = 'crash=1';
-/** Milliseconds for which a server is away after a crash. */
+/** Milliseconds until a server has restarted after a crash. */
 const RESTART_MS = 150;
 /** Milliseconds that a request runs before its server crashes. */
 const CRASH_MS = 5;
 
 const MS_PER_SECOND = 1_000;
-/** Path at which it tells whether it is well and stays. */
+/** Path of the health check. */
 const HEALTH_PATH = '/health';
 
-/** A time for which a server asked instances to leave it alone, told by its steady clock. */
+/** A pause that a server requested from an instance, in monotonic clock time. */
 export interface Rest {
   server: string;
-  /** Instance that was told, by the header that the soak's callers send. */
+  /** Instance that received the request for the pause, from the header that the soak's callers send. */
   instance: string;
   from: number;
   until: number;
 }
 
-/** Header by which the soak's callers tell the instance that they use. */
+/** Header with which the soak's callers name the instance that they use. */
 export const USED_INSTANCE = 'x-used-instance';
 
 export class UsersServer {
@@ -67,36 +67,36 @@
   readonly rests: Rest[] = [];
   /** Requests whose connection was closed before they were answered. */
   dropped = 0;
-  /** Questions for its status. */
+  /** Number of health probes. */
   asked = 0;
   behaviour: Behaviour = 'answer';
-  /** Limit of requests a second that it names in each answer. */
+  /** Rate limit in requests per second that each answer reports. */
   rateLimit: string | undefined;
-  /** Whether it says of itself that it leaves, when it is asked for its status. */
+  /** Whether its health check reports that it is leaving. */
   leaving = false;
-  /** Whether it says so in every answer. */
+  /** Whether every answer reports that it is leaving. */
   saysLeaving = false;
-  /** Seconds of rest that it asks for when it turns a request away. */
+  /** Seconds of the pause that it asks for when it rejects a request. */
   rest: string | undefined;
   address = '';
-  /** Called when a connection comes in. */
+  /** Called for each new connection. */
   onConnection: () => void = () => undefined;
-  /** Called when an answer was written. */
+  /** Called after an answer was written. */
   afterAnswer: () => void = () => undefined;
-  /** When requests with a body that begins so bring the server down; undefined where they are answered. */
+  /** When requests that start with `CRASHING_BODY` crash the server; undefined if they are answered. */
   crashes: CrashMoment | undefined;
-  /** Lives of this server that ended in a crash. */
+  /** Number of crashes of this server. */
   crashed = 0;
-  /** Called when the server has started again, under another id. */
+  /** Called when the server has restarted under a new id. */
   onRestart: () => void = () => undefined;
 
-  readonly #kept: (() => void)[] = [];
+  readonly #heldStreams: (() => void)[] = [];
   #http: Server | undefined;
   #isOver = false;
 
   constructor(readonly name: string) {}
 
-  /** Id of the present life. */
+  /** Id of the current process. */
   get id(): string {
     return this.crashed === 0 ? this.name : `${this.name}-${String(this.crashed)}`;
   }
@@ -138,7 +138,7 @@
     this.onRestart();
   }
 
-  /** The entry that the server writes of itself. */
+  /** The entry that the server writes for itself into the list of servers. */
   entry(service: string, change: Record<string, unknown> = {}): Record<string, unknown> {
     const { address } = this;
     return {
@@ -176,21 +176,21 @@
     }
     if (this.crashes && Buffer.concat(chunks).toString().startsWith(CRASHING_BODY)) {
       if (this.crashes === 'after-head') {
-        res.writeHead(200, this.#own(req)).flushHeaders();
+        res.writeHead(200, this.#ownHeaders(req)).flushHeaders();
       }
       setTimeout(() => void this.#crash(), CRASH_MS);
       return;
     }
-    this.#behave(req, res);
+    this.#respond(req, res);
     this.afterAnswer();
   }
 
-  /** Streams the answers of all requests that are kept. */
+  /** Streams the answers of all held requests. */
   release(): void {
-    for (const stream of this.#kept.splice(0)) stream();
+    for (const stream of this.#heldStreams.splice(0)) stream();
   }
 
-  #askForRest({ headers }: IncomingMessage, res: ServerResponse, rest: string): void {
+  #requestPause({ headers }: IncomingMessage, res: ServerResponse, rest: string): void {
     res.setHeader('retry-after', rest);
     const instance = String(headers[USED_INSTANCE]);
     const from = performance.now();
@@ -198,8 +198,8 @@
     this.rests.push({ server: this.id, instance, from, until });
   }
 
-  /** Headers that say whose answer it is. */
-  #own({ headers }: IncomingMessage): Record<string, string> {
+  /** Headers that identify the request and the server of an answer. */
+  #ownHeaders({ headers }: IncomingMessage): Record<string, string> {
     return {
       'x-request-id': String(headers['x-request-id']),
       'x-response-signature': `proof-of-${this.id}`,
@@ -207,8 +207,8 @@
     };
   }
 
-  #behave(req: IncomingMessage, res: ServerResponse): void {
-    const own = this.#own(req);
+  #respond(req: IncomingMessage, res: ServerResponse): void {
+    const own = this.#ownHeaders(req);
     const from = Number(req.headers['last-event-id'] ?? 0);
     const stream = (): void => {
       res.writeHead(200, { ...own, 'content-type': 'text/event-stream' });
@@ -226,7 +226,7 @@
         stream();
         return;
       case 'hold':
-        this.#kept.push(stream);
+        this.#heldStreams.push(stream);
         return;
       case 'break-stream':
         res.writeHead(200, { ...own, 'content-type': 'text/event-stream' });
@@ -234,7 +234,7 @@
         setTimeout(() => req.socket.resetAndDestroy(), 20);
         return;
       case 'shed':
-        if (this.rest !== undefined) this.#askForRest(req, res, this.rest);
+        if (this.rest !== undefined) this.#requestPause(req, res, this.rest);
         res.writeHead(503, { 'x-not-executed': '1' }).end();
         return;
       case 'unmarked-503':
@@ -258,7 +258,7 @@
   }
 }
 
-/** One event of the stand-in's stream. */
+/** One event of the stream. */
 export function event(id: number): string {
   return `id: ${String(id)}\ndata: piece ${String(id)}\n\n`;
 }
--- a/test/platform/usersStore.ts
+++ b/test/platform/usersStore.ts
@@ -1,4 +1,4 @@
-/** A small stand-in of the users' store: objects by kind, one revision, waiting calls for changes. */
+/** A fake of the platform's store: objects by kind, one revision counter, and long polling for changes. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { TestContext } from 'node:test';
@@ -16,36 +16,36 @@
   tombstone: boolean;
 }
 
-const LIST_PART = 2;
+const PAGE_SIZE = 2;
 
-/** What the stand-in does wrong for a while. */
+/** Fault that the store currently simulates. */
 export type StoreFault = 'none' | 'silent' | 'down' | 'history-gone';
 
 export class UsersStore {
   fault: StoreFault = 'none';
-  /** Kinds of the objects that were asked for, one for each call. */
+  /** Object kind of each call so far. */
   readonly calls: string[] = [];
   url = '';
-  /** Called when a change that somebody asked for was answered. */
+  /** Called after a request that changes an object was answered. */
   afterChange: (kind: string) => void = () => undefined;
   #revision = 10;
   readonly #kinds = new Map<string, Map<string, Stored>>();
   #history: Change[] = [];
   readonly #waiting = new Set<() => void>();
 
-  /** Writes as the operator or a server would; returns the new revision. */
+  /** Writes an object directly, as the operator or a server would. Returns the new revision. */
   put(kind: string, name: string, spec: unknown): number {
     this.#revision += 1;
     const stored = { name, revision: this.#revision, spec };
     this.#kind(kind).set(name, stored);
-    this.#tell({ ...stored, kind, tombstone: false });
+    this.#publish({ ...stored, kind, tombstone: false });
     return this.#revision;
   }
 
   remove(kind: string, name: string): void {
     this.#revision += 1;
     this.#kind(kind).delete(name);
-    this.#tell({ kind, name, revision: this.#revision, spec: null, tombstone: true });
+    this.#publish({ kind, name, revision: this.#revision, spec: null, tombstone: true });
   }
 
   names(kind: string): string[] {
@@ -56,7 +56,7 @@
     return this.#kind(kind).get(name)?.spec;
   }
 
-  /** Serves until the test ends. */
+  /** Listens until the test ends. */
   async listen(t: Pick<TestContext, 'after'>): Promise<this> {
     const server = createServer((req, res) => {
       this.calls.push(kindOf(req));
@@ -78,7 +78,7 @@
     return known;
   }
 
-  #tell(change: Change): void {
+  #publish(change: Change): void {
     this.#history.push(change);
     for (const wake of this.#waiting) wake();
   }
@@ -110,8 +110,8 @@
   #list(res: ServerResponse, kind: string, after: string): void {
     const all = [...this.#kind(kind).values()].sort((a, b) => (a.name < b.name ? -1 : 1));
     const rest = all.filter(({ name }) => name > after);
-    const items = rest.slice(0, LIST_PART).map(toBody);
-    send(res, 200, { items, has_more: rest.length > LIST_PART, store_revision: this.#revision });
+    const items = rest.slice(0, PAGE_SIZE).map(toBody);
+    send(res, 200, { items, has_more: rest.length > PAGE_SIZE, store_revision: this.#revision });
   }
 
   async #watch(res: ServerResponse, kind: string, url: URL): Promise<void> {
@@ -121,17 +121,17 @@
     }
     const since = Number(url.searchParams.get('watch'));
     const end = Date.now() + Number(url.searchParams.get('wait_ms'));
-    const news = (): Change[] =>
+    const newChanges = (): Change[] =>
       this.#history.filter((change) => change.kind === kind && change.revision > since);
-    while (news().length === 0 && Date.now() < end) await this.#change(end - Date.now());
-    const events = news().map((change) => ({
+    while (newChanges().length === 0 && Date.now() < end) await this.#nextChange(end - Date.now());
+    const events = newChanges().map((change) => ({
       object: toBody(change),
       tombstone: change.tombstone,
     }));
     send(res, 200, { events, store_revision: this.#revision });
   }
 
-  #change(withinMs: number): Promise<void> {
+  #nextChange(withinMs: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
         clearTimeout(timer);
--- a/test/platform/watches.test.ts
+++ b/test/platform/watches.test.ts
@@ -4,7 +4,7 @@
 import { World, configWith, until } from './world.js';
 
 describe('the configuration', () => {
-  test('that is newer comes into force, an older or unreadable one never', async (t) => {
+  test('that is newer is applied, an older or invalid one never', async (t) => {
     const world = await World.start(t);
     world.store.put('config', 'main', configWith({ version: 12, routes: [] }));
     await until('in force', async () => (await world.call({ path: '/look/1' })).status === 404);
@@ -16,8 +16,8 @@
     assert.equal((await world.call({ path: '/look/1' })).status, 404);
   });
 
-  // a volunteer's new key is refused for good by an instance that was cut off when it was added.
-  test('that may be outdated refuses nobody for good', async (t) => {
+  // Guards against a permanent refusal of a new key by an instance that was cut off when the key was added.
+  test('that may be outdated causes no permanent refusal', async (t) => {
     const world = await World.start(t);
     world.store.fault = 'silent';
     await until('outdated', async () => {
@@ -28,8 +28,9 @@
 });
 
 describe('the list of servers', () => {
-  // a hundred servers start or report a new state within seconds, and each change costs each instance a call.
-  test('is asked for once for changes that come together', async (t) => {
+  // Guards against one call per instance for each change when a hundred servers start or report a new state
+  // within seconds.
+  test('is requested once for changes that occur together', async (t) => {
     const world = await World.start(t);
     const calls = (): number => world.store.calls.filter((kind) => kind === 'servers').length;
     const server = world.server('p1');
@@ -45,12 +46,12 @@
         return name === 'servers-changed' && fields.servers === 3;
       }),
     );
-    // one for each quarter of a second, and those that were under way at both ends.
+    // one call per quarter of a second, plus the calls in flight at the start and the end.
     const most = 4 + (performance.now() - since) / 250;
     assert.ok(calls() - before <= most, `${String(calls() - before)} calls for eleven changes`);
   });
 
-  test('without a server, and with entries that nobody can use, takes no request', async (t) => {
+  test('without a usable server of a service refuses its requests', async (t) => {
     const world = await World.start(t);
     world.store.put('servers', 'p1', world.server('p1').entry('ledger', { state: 'draining' }));
     world.store.put('servers', 'p2', { service: 'ledger', address: 7 });
@@ -60,11 +61,12 @@
     assert.equal((await world.generate('/chat/1')).status, 200, 'the others hold');
   });
 
-  // all volunteers are refused after an outage: the entries of servers that live had lapsed.
-  test('that lapsed during an outage is believed only after the servers could write again', async (t) => {
+  // Guards against refusing all requests after an outage of the store, because the entries of running servers
+  // had expired.
+  test('that expired during an outage is trusted only after the servers could write again', async (t) => {
     const world = await World.start(t);
     world.store.fault = 'silent';
-    // a waiting call that came before the silence may be answered half a second into it.
+    // a long poll that started before the outage may be answered half a second into it.
     await delay(4_000);
     for (const { id } of world.servers) world.store.remove('servers', id);
     world.store.fault = 'none';
@@ -77,8 +79,8 @@
     await until('gone', async () => (await world.call({ path: '/look/1' })).status === 503);
   });
 
-  // a caller's request fails at a server that left while this instance was cut off from the store.
-  test('that lacks a server after a silence goes by the word of the server', async (t) => {
+  // Guards against sending requests to a server that left while this instance was cut off from the store.
+  test('that lost a server during an outage is checked with a probe of the server', async (t) => {
     const world = await World.start(t);
     world.store.fault = 'silent';
     await delay(4_000);
@@ -96,7 +98,7 @@
     assert.equal(world.server('p1').seen.length, before);
   });
 
-  test('is read again when its history is gone', async (t) => {
+  test('is read again when the history of its changes is gone', async (t) => {
     const world = await World.start(t);
     world.store.fault = 'history-gone';
     await delay(1_000);
@@ -113,8 +115,8 @@
 });
 
 describe('new settings', () => {
-  // calls hang up when an operator changes a figure: the process had to be restarted for it.
-  test('come into force while requests run, and what needs a restart is named', async (t) => {
+  // Guards against restarts, and broken calls, for each changed setting.
+  test('are applied while requests run, and settings that need a restart are named', async (t) => {
     const world = await World.start(t);
     const running = world.call({ path: '/book/1' });
     assert.ok(world.settings);
--- a/test/platform/world.ts
+++ b/test/platform/world.ts
@@ -1,4 +1,4 @@
-/** One gateway on the users' platform, with stand-ins for the store and the servers. */
+/** One gateway on the platform, with a fake store and fake backend servers. */
 
 import type { TestContext } from 'node:test';
 import type { GatewaySettings } from '@flamingocourse/gateway';
@@ -81,7 +81,7 @@
   method?: string;
   headers?: Record<string, string>;
   body?: string;
-  /** Milliseconds after which the caller leaves. */
+  /** Milliseconds after which the caller disconnects. */
   leaveMs?: number;
 }
 
@@ -126,14 +126,14 @@
     return world;
   }
 
-  /** Starts another gateway beside the same store and servers. */
+  /** Starts another gateway with the same store and servers. */
   async join(t: TestContext, instance: string, change: SettingsChange = {}): Promise<World> {
     const world = new World(instance, this.store, this.servers);
     await world.#startGateway(t, change);
     return world;
   }
 
-  /** Waits until each instance of a fleet knows of the others. */
+  /** Waits until each instance of a fleet knows all others. */
   async allKnow(fleet: readonly World[]): Promise<void> {
     await until('all know of each other', () =>
       fleet.every(({ log }) => {
@@ -149,12 +149,12 @@
     return found;
   }
 
-  /** Requests that reached the servers of a kind, `p` or `e`. */
+  /** Requests that reached the plain servers (`p`) or the engines (`e`). */
   seen(kind: 'p' | 'e'): UsersServer['seen'] {
     return this.servers.filter(({ id }) => id.startsWith(kind)).flatMap((server) => server.seen);
   }
 
-  /** Names of the events that were logged. */
+  /** Names of the logged events. */
   get events(): string[] {
     return this.log.events.map(({ event }) => event);
   }
@@ -184,12 +184,12 @@
     return send(this.#entryPort, { method: 'POST', body: 'x=1', ...call, headers });
   }
 
-  /** Sends a whole request and closes its connection before the gateway can have read any of it. */
+  /** Sends a complete request and closes its connection before the gateway can read any of it. */
   async sendAndLeave(path: string): Promise<void> {
     (await this.sendOpen(path)).destroy();
   }
 
-  /** Sends a whole request on a connection of its own, which the test may close at any moment. */
+  /** Sends a complete request on its own connection, which the test may close at any time. */
   async sendOpen(path: string, headers: Record<string, string> = {}): Promise<Socket> {
     this.#calls += 1;
     const socket = connect(this.#entryPort, '127.0.0.1');
@@ -207,14 +207,14 @@
     return socket;
   }
 
-  /** Requests that have ended in a way. */
+  /** Number of requests that ended with this outcome. */
   ended(outcome: string): number {
     return this.log.events.filter(({ event, fields }) => {
       return event === 'request-ended' && fields.outcome === outcome;
     }).length;
   }
 
-  /** A generation of so many prompt tokens and at most 80 more. */
+  /** Sends a generation request with this number of prompt tokens and at most 80 output tokens. */
   generate(path: string, prompt = 1_000, headers: Record<string, string> = {}): Promise<Answer> {
     return this.call({
       path,
@@ -270,24 +270,24 @@
     this.stop = () => (stopped ??= gateway.stop());
     t.after(() => this.stop());
     await until('ready', async () => (await this.ready()) === 200);
-    // until it has joined, a request waits a quarter of a second for tokens and is refused then.
+    // before the instance has joined a group, a request waits a quarter of a second for tokens and is refused.
     await until('joined', () =>
       this.log.events.some(({ event }) => event === 'prepaid-group-joined'),
     );
   }
 
   settings: GatewaySettings | undefined;
-  /** Gives the gateway new settings. */
+  /** Applies new settings to the gateway. */
   reload: (next: GatewaySettings) => string[] = () => [];
-  /** Stops the gateway the planned way. */
+  /** Stops the gateway gracefully. */
   stop: () => Promise<void> = () => Promise.resolve();
 }
 
-/** Waits until a condition holds; gives up after a time that only a hang reaches. */
+/** Waits until a condition holds. Throws after 20 s, which only a hang reaches. */
 export async function until(what: string, holds: () => boolean | Promise<boolean>): Promise<void> {
   const end = Date.now() + 20_000;
   while (!(await holds())) {
-    if (Date.now() > end) throw new Error(`never came true: ${what}`);
+    if (Date.now() > end) throw new Error(`condition not met in time: ${what}`);
     await delay(10);
   }
 }
