--- a/packages/gateway/src/node/lenders.ts
+++ b/packages/gateway/src/node/lenders.ts
@@ -54,7 +54,8 @@
   }
 
   /**
-   * Borrows from the listed lenders. While none of them answers, also borrows from the next instance in the ranking.
+   * Borrows from the listed lenders. While none of them answers, also borrows from the next instance in
+   * the ranking.
    *
    * @param ranked all instances that could be lenders, the most preferred first.
    */
@@ -102,7 +103,7 @@
       context,
       lender,
       calls,
-      createHolder: (life) => createHolder(`${lender.name}-${life}`),
+      createHolder: (generation) => createHolder(`${lender.name}-${generation}`),
       isPreferredFor: (account) => this.#isPreferredFor(lender, account),
       onUnavailable: onLost,
       onReachable: onRegained,
--- a/packages/gateway/src/node/loanTokens.ts
+++ b/packages/gateway/src/node/loanTokens.ts
@@ -38,7 +38,7 @@
   lender: FleetInstance;
   calls: LoanCalls;
   /** Creates a holder for the loans of one lender process. */
-  createHolder: (life: string) => PrepaidHolder;
+  createHolder: (generation: string) => PrepaidHolder;
   /** Whether this lender is the one to ask for tokens of an account. */
   isPreferredFor: (account: AccountId) => boolean;
   /** Called when the lender does not answer or is stopping. */
@@ -258,10 +258,14 @@
   }
 
   /** Starts again with an empty holder, because the lender's process does not know the loans. */
-  #renew(life: IncarnationId): void {
+  #renew(lenderIncarnation: IncarnationId): void {
     const { context, createHolder } = this.#options;
     const { heldInAll } = this.#holder;
-    context.log.write('prepaid-loans-forgotten', { lender: this.name, life, held: heldInAll });
+    context.log.write('prepaid-loans-forgotten', {
+      lender: this.name,
+      life: lenderIncarnation,
+      held: heldInAll,
+    });
     if (this.#holder.hasRights) this.#forgottenLoans.push(this.#holder);
     this.#generation += 1;
     this.#holder = createHolder(String(this.#generation));
--- a/packages/gateway/src/node/prepaidGrants.ts
+++ b/packages/gateway/src/node/prepaidGrants.ts
@@ -40,7 +40,10 @@
  * reports and the size of the page grow. Over a 7 Mbit/s link the page takes one millisecond per instance.
  */
 const MAX_GROUP_SIZE = 10;
-/** Maximum age of the shared object in milliseconds. It is read for new members, which share the fleet's retries. */
+/**
+ * Maximum age of the shared object in milliseconds. After that it is read again to see new members, because the
+ * retries of the fleet are divided among all members.
+ */
 const BUDGETS_MAX_AGE_MS = 4_000;
 /**
  * Milliseconds over which instances that start together spread their joins. A join takes about 10 ms, so of
--- a/packages/gateway/src/node/sharedQuarantine.ts
+++ b/packages/gateway/src/node/sharedQuarantine.ts
@@ -28,14 +28,14 @@
 /** Sends the events of the quarantine to the fleet, and its proven causes to the store. */
 export class SharedQuarantine implements QuarantineExchange {
   readonly #context: GatewayContext;
-  readonly #news: NewsService;
+  readonly #gossip: NewsService;
   readonly #causes: KeptCauses;
   /** Requests that this instance had in flight at a crash, oldest first. */
   readonly #inFlightAtCrash = new Set<Fingerprint>();
 
-  constructor(context: GatewayContext, news: NewsService, causes: KeptCauses) {
+  constructor(context: GatewayContext, gossip: NewsService, causes: KeptCauses) {
     this.#context = context;
-    this.#news = news;
+    this.#gossip = gossip;
     this.#causes = causes;
   }
 
@@ -44,7 +44,7 @@
     if (event.type !== 'finished') return;
     const { crashes = [] } = state.entries[event.fingerprint] ?? {};
     // after one more crash, other instances would take the request for the cause.
-    this.#news.publish(event, crashes.length >= URGENT_CRASH_COUNT ? 'now' : 'later');
+    this.#gossip.publish(event, crashes.length >= URGENT_CRASH_COUNT ? 'now' : 'later');
     this.#causes.remove(event.fingerprint);
   }
 
@@ -58,7 +58,7 @@
   }
 
   onNews(listener: (news: QuarantineNews) => void): void {
-    this.#news.onNews(({ news, at }) => {
+    this.#gossip.onNews(({ news, at }) => {
       // every instance that knows the stored cause removes it, wherever the request finished.
       if (news.type === 'finished') this.#causes.remove(news.fingerprint);
       listener({ type: 'event', event: toEvent(news), at });
@@ -72,11 +72,11 @@
   #publishCrash({ server, inFlight }: Crash, state: QuarantineState): void {
     for (let from = 0; from < inFlight.length; from += MAX_REQUESTS_PER_ITEM) {
       const part = inFlight.slice(from, from + MAX_REQUESTS_PER_ITEM);
-      this.#news.publish({ type: 'crashed', server, inFlight: part });
+      this.#gossip.publish({ type: 'crashed', server, inFlight: part });
     }
     this.#saveCauses(inFlight, state);
     this.#remember(inFlight);
-    if (this.#news.hasUnreachablePeers) this.#causes.refresh();
+    if (this.#gossip.hasUnreachablePeers) this.#causes.refresh();
   }
 
   #saveCauses(fingerprints: readonly Fingerprint[], state: QuarantineState): void {
--- a/test/gateway/keptCauses.test.ts
+++ b/test/gateway/keptCauses.test.ts
@@ -78,8 +78,8 @@
   const store = new MemoryObjectStore();
   const context = contextOf(new ManualClock(), new MemoryEventLog(), store);
   const { causes } = await start(t, store);
-  const news = new NewsService(context, 'life-1', new NoCalls());
-  new SharedQuarantine(context, news, causes).onNews(() => undefined);
+  const gossip = new NewsService(context, 'life-1', new NoCalls());
+  new SharedQuarantine(context, gossip, causes).onNews(() => undefined);
   causes.save(cause);
   await settle();
   const { fingerprint } = cause;
@@ -89,9 +89,9 @@
     ageMs: 3,
     news: { type: 'finished', fingerprint },
   } as const;
-  news.hear({ from: 'edge-2', known: {}, items: [finished] });
+  gossip.hear({ from: 'edge-2', known: {}, items: [finished] });
   await settle();
-  news.stop();
+  gossip.stop();
   assert.deepEqual(await names(store), []);
 });
 
--- a/test/gateway/prepaidFleet.test.ts
+++ b/test/gateway/prepaidFleet.test.ts
@@ -17,7 +17,10 @@
 const EXTRA_LATENCY_MS = 60;
 /** Milliseconds after a partition in which a call made during it may still hang until the next one is due. */
 const HANGING_MS = 1_500;
-/** Fraction of requests that may be refused for missing tokens while the store answers and budgets are mostly unspent. */
+/**
+ * Fraction of requests that may be refused for missing tokens while the store answers and the budgets are
+ * almost unspent.
+ */
 const MAX_REFUSED_FRACTION = 0.02;
 
 // Guards against refusing the requests of one account for half a minute because its instance is the slowest
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -150,7 +150,8 @@
   await until('cancelled', () => world.servers.some(({ dropped }) => dropped === 1));
 });
 
-// Guards against processing a request after its caller gave up, because a busy instance read it two seconds late.
+// Guards against processing a request after its caller gave up, because a busy instance read it two
+// seconds late.
 describe('a request whose caller disconnected before it was read', () => {
   const kinds = [
     { name: 'that may be repeated', path: '/look/1', server: 'p' },
@@ -171,8 +172,8 @@
   }
 });
 
-// Guards against a stopping instance that accepts a stream and cuts it off at its end. The load balancer found too
-// few ready instances and continued to send to one that had been told to stop six seconds earlier.
+// Guards against a stopping instance that accepts a stream and cuts it off at its own end. The load balancer
+// found too few ready instances and continued to send to one that had been stopping for six seconds.
 test('a planned stop accepts nothing that it could not finish', async (t) => {
   const slow = { timeout_ms: 8_000, kind: 'non_idempotent', service: 'ledger', public: true };
   const route = { ...slow, name: 'book', hostname: 'shop.example', path_prefix: '/book/' };
--- a/test/platform/prepaid.test.ts
+++ b/test/platform/prepaid.test.ts
@@ -44,8 +44,8 @@
     assert.ok(Number(answer.headers['retry-after']) > 0);
   });
 
-  // Guards against refusing the requests of an account for twelve seconds because all of them arrive at an instance
-  // that is cut off, while other instances could serve them.
+  // Guards against refusing the requests of an account for twelve seconds because all of them arrive at an
+  // instance that is cut off, while other instances could serve them.
   test('that is unreachable diverts callers to other instances until it is reachable', async (t) => {
     const world = await World.start(t);
     world.behave('e', 'stream');
--- a/test/platform/serverNotices.test.ts
+++ b/test/platform/serverNotices.test.ts
@@ -8,7 +8,8 @@
 /** Maximum number of requests that may reach a server during its pause. */
 const MAX_REQUESTS_IN_PAUSE = 0;
 
-// Guards against requests sent to a server seconds after it announced that it is leaving. They fail when it ends.
+// Guards against requests sent to a server seconds after it announced that it is leaving. They fail when it
+// ends.
 describe('a server that announces in an answer that it is leaving gets no new requests', () => {
   const cases = [
     { name: 'announced with an answer', behaviour: 'answer' },
