--- a/packages/gateway/src/node/newsService.ts
+++ b/packages/gateway/src/node/newsService.ts
@@ -58,7 +58,7 @@
   readonly #calls: NewsCalls;
   readonly #log: NewsLog;
   readonly #peers = new Map<string, Peer>();
-  readonly #listeners: ((news: DatedNews) => void)[] = [];
+  readonly #listeners: ((fact: DatedNews) => void)[] = [];
   #instances: InstanceDirectory | undefined;
   #gossipTimer: NodeJS.Timeout | undefined;
   #syncTimer: NodeJS.Timeout | undefined;
@@ -75,11 +75,11 @@
 
   /** Whether the last message to at least one peer got no answer. */
   get hasUnreachablePeers(): boolean {
-    return [...this.#peers.values()].some(({ reachability: contact }) => contact.isLost);
+    return [...this.#peers.values()].some(({ reachability }) => reachability.isLost);
   }
 
   /** Calls the listener with each new fact from another instance. */
-  onNews(listener: (news: DatedNews) => void): void {
+  onNews(listener: (fact: DatedNews) => void): void {
     this.#listeners.push(listener);
   }
 
@@ -88,8 +88,8 @@
    *
    * @param urgency `later` waits for the next message that is sent for another reason.
    */
-  publish(news: FleetNews, urgency: 'now' | 'later' = 'now'): void {
-    this.#log.add(news, this.#now());
+  publish(fact: FleetNews, urgency: 'now' | 'later' = 'now'): void {
+    this.#log.add(fact, this.#now());
     if (urgency === 'now') this.#startGossip();
   }
 
@@ -124,8 +124,10 @@
 
   /** Fetches the facts known to the fleet, so that a new process does not have to wait for gossip. */
   async #catchUp(): Promise<void> {
-    const ends = await Promise.all(this.#choose(this.#others).map((peer) => this.#exchange(peer)));
-    this.#isCaughtUp ||= ends.includes('heard');
+    const outcomes = await Promise.all(
+      this.#choose(this.#others).map((peer) => this.#exchange(peer)),
+    );
+    this.#isCaughtUp ||= outcomes.includes('heard');
   }
 
   #startGossip(): void {
@@ -198,9 +200,9 @@
   }
 
   #applyItems(items: NewsMessage['items']): void {
-    const news = this.#log.take(items, this.#now());
-    if (news.length === 0) return;
-    for (const each of news) for (const listener of this.#listeners) listener(each);
+    const facts = this.#log.take(items, this.#now());
+    if (facts.length === 0) return;
+    for (const fact of facts) for (const listener of this.#listeners) listener(fact);
     this.#startGossip();
   }
 
--- a/packages/gateway/src/node/sharedQuarantine.ts
+++ b/packages/gateway/src/node/sharedQuarantine.ts
@@ -100,8 +100,8 @@
   }
 }
 
-function toEvent(news: FleetNews): QuarantineEvent {
-  return news.type === 'crashed' ? { ...news, isShared: true } : news;
+function toEvent(fact: FleetNews): QuarantineEvent {
+  return fact.type === 'crashed' ? { ...fact, isShared: true } : fact;
 }
 
 function toCrashes({ fingerprint, servers }: ProvenCause): Crash[] {
--- a/packages/gateway/src/node/storeTokens.ts
+++ b/packages/gateway/src/node/storeTokens.ts
@@ -27,7 +27,7 @@
  * same time. A request that needs the new tokens sooner fetches them itself.
  */
 const LIMITS_JITTER_MS = 500;
-/** Milliseconds without calls after the store throttled one, unless its answer states a time. */
+/** Milliseconds for which requests do not ask a store that throttled a call, unless its answer states a time. */
 const THROTTLED_MS = 500;
 /** Milliseconds between attempts while the store is unreachable. Short, because tokens run out meanwhile. */
 const UNREACHABLE_RETRY_MS = 200;
