--- a/packages/core/src/runtime/claims.ts
+++ b/packages/core/src/runtime/claims.ts
@@ -59,9 +59,9 @@
  * effect afterwards.
  *
  * @example
- * giveUp(page, keyDigest, { ticket, bodyDigest, at: now });
+ * releaseClaim(page, keyDigest, { ticket, bodyDigest, at: now });
  */
-export function giveUp(page: ClaimPage, keyDigest: string, ended: Claim): ClaimPage {
+export function releaseClaim(page: ClaimPage, keyDigest: string, ended: Claim): ClaimPage {
   const held = page.claims[keyDigest];
   const isOwn = held !== undefined && sameTicket(held.ticket, ended.ticket);
   const isOwned = held !== undefined && !held.isGivenUp;
--- a/packages/core/src/runtime/journal.ts
+++ b/packages/core/src/runtime/journal.ts
@@ -108,7 +108,7 @@
  * Finds the incarnation that now answers for a witness: the witness itself, or the latest
  * incarnation of the same process if the witness was sealed.
  */
-export function answeringIncarnation(state: JournalState, witness: IncarnationId): IncarnationId {
+export function currentIncarnationOf(state: JournalState, witness: IncarnationId): IncarnationId {
   const successors = Object.entries(state.holders)
     .filter(([, holder]) => holder.formerly?.includes(witness))
     .sort(([, left], [, right]) => (right.formerly?.length ?? 0) - (left.formerly?.length ?? 0));
@@ -228,7 +228,7 @@
 /**
  * Returns the contents of the open segment, to be stored as an object before {@link rollSegment}.
  */
-export function openSegment(state: JournalState): BillSegment {
+export function currentSegment(state: JournalState): BillSegment {
   return {
     dataCentre: state.dataCentre,
     number: state.segment,
--- a/packages/core/src/runtime/prepaid/spenders.ts
+++ b/packages/core/src/runtime/prepaid/lenders.ts
@@ -20,18 +20,18 @@
  * results are safe, because a lender only lends tokens that it holds.
  *
  * @example
- * const isSpender = chooseSpenders(instances, 'hall-a').some(({ name }) => name === own);
+ * const isLender = chooseLenders(instances, 'hall-a').some(({ name }) => name === own);
  */
-export function chooseSpenders(
+export function chooseLenders(
   instances: readonly FleetInstance[],
   dataCentre: DataCentreId,
 ): FleetInstance[] {
   if (instances.length <= MAX_WITHOUT_LENDERS) return [...instances];
-  return rankSpenders(instances, dataCentre).slice(0, LENDERS_PER_DATA_CENTRE);
+  return rankLenders(instances, dataCentre).slice(0, LENDERS_PER_DATA_CENTRE);
 }
 
 /** Returns all instances of a data centre that could be lenders, in order of preference. */
-export function rankSpenders(
+export function rankLenders(
   instances: readonly FleetInstance[],
   dataCentre: DataCentreId,
 ): FleetInstance[] {
@@ -45,9 +45,9 @@
  * Returns the lenders in the order in which an account's tokens are requested from them.
  *
  * @example
- * const [first, second] = orderSpenders(spenders, 'club-7');
+ * const [first, second] = orderLenders(lenders, 'club-7');
  */
-export function orderSpenders(
+export function orderLenders(
   spenders: readonly FleetInstance[],
   account: AccountId,
 ): FleetInstance[] {
--- a/packages/core/src/runtime/prepaid/loanBook.ts
+++ b/packages/core/src/runtime/prepaid/loanBook.ts
@@ -45,7 +45,7 @@
  * loans are charged, because it may have spent them or may still spend them.
  *
  * @example
- * if (book.take(report, urgent, now) === 'taken') answer(book.held(report.instance, 'shop'));
+ * if (book.applyReport(report, urgent, now) === 'taken') answer(book.held(report.instance, 'shop'));
  */
 export class LoanBook {
   readonly #holder: PrepaidHolder;
@@ -65,7 +65,7 @@
    * Incarnation of the holder whose tokens are lent. Removes the loans of an earlier incarnation,
    * which are already charged.
    */
-  get life(): IncarnationId {
+  get incarnation(): IncarnationId {
     if (this.#incarnation !== this.#holder.incarnation) {
       this.#incarnation = this.#holder.incarnation;
       this.#borrowers.clear();
@@ -99,7 +99,7 @@
   }
 
   /** Returns and clears the loans that were charged since the last call, for the log. */
-  takeLost(): ChargedLoans[] {
+  takeChargedLoans(): ChargedLoans[] {
     const charged = this.#charged;
     this.#charged = [];
     return charged;
@@ -110,7 +110,7 @@
    *
    * @param urgent tokens that requests wait for, as part of the requested tokens.
    */
-  take(
+  applyReport(
     report: PrepaidReport,
     urgent: Readonly<Record<AccountId, Tokens>>,
     now: EpochMs,
@@ -140,7 +140,7 @@
   }
 
   /** Tokens that the borrower's waiting requests need beyond what was lent, by account. */
-  lacking(
+  shortfalls(
     { instance, entries }: PrepaidReport,
     urgent: Readonly<Record<AccountId, Tokens>>,
   ): Map<AccountId, Tokens> {
@@ -156,7 +156,7 @@
    * Lends the shortfall of each account that can be covered whole now. Lends nothing if the
    * borrower has sent another report since.
    */
-  lendLacking(
+  lendShortfalls(
     { instance, incarnation, seq }: PrepaidReport,
     shortfalls: ReadonlyMap<AccountId, Tokens>,
   ): void {
@@ -176,7 +176,7 @@
    * Removes borrowers that have not reported for `silentMs` milliseconds, charges their loans and
    * returns their names.
    */
-  dropSilent(silentMs: number, now: EpochMs): string[] {
+  chargeSilentBorrowers(silentMs: number, now: EpochMs): string[] {
     const silent = [...this.#borrowers].filter(
       ([, { reportedAt }]) => now - reportedAt >= silentMs,
     );
--- a/packages/core/src/runtime/prepaid/memberWatch.ts
+++ b/packages/core/src/runtime/prepaid/memberFailureDetector.ts
@@ -17,10 +17,10 @@
  * its next report fenced.
  *
  * @example
- * const watch = new MemberWatch(600_000);
- * const lost = watch.silent(membersOf(budgets, group), page, now);
+ * const detector = new MemberFailureDetector(600_000);
+ * const lost = detector.silent(membersOf(budgets, group), page, now);
  */
-export class MemberWatch {
+export class MemberFailureDetector {
   readonly #silentMs: number;
   #lastReports = new Map<string, LastReport>();
 
--- a/packages/core/src/runtime/prepaid/prepaidBudgets.ts
+++ b/packages/core/src/runtime/prepaid/prepaidBudgets.ts
@@ -8,7 +8,7 @@
   PrepaidPage,
 } from '../../types/prepaid.js';
 import { sum } from '../../utils/sum.js';
-import { emptyPrepaidAccount, netGrant, undealtPrepaid } from './prepaidPage.js';
+import { emptyPrepaidAccount, netGrant, unallocatedPrepaid } from './prepaidPage.js';
 
 /** Limit of each account, from the current configuration. An account without one is not limited. */
 export type PrepaidLimits = ReadonlyMap<AccountId, Tokens>;
@@ -92,7 +92,11 @@
 }
 
 /** Upper bound of the tokens of an account that are left in the whole fleet. */
-export function leftPrepaid(budgets: PrepaidBudgets, account: AccountId, limit: Tokens): Tokens {
+export function maxRemainingPrepaid(
+  budgets: PrepaidBudgets,
+  account: AccountId,
+  limit: Tokens,
+): Tokens {
   const grants = Object.values(budgets.grants[account] ?? {});
   return Math.max(0, limit - sum(grants.map(({ gone }) => gone)));
 }
@@ -105,7 +109,7 @@
  * @param page the group's page, which may not include all known grants yet.
  *
  * @example
- * const wanted = wantedGrants(budgets, '0', page, lackingPrepaid(page, report), limits);
+ * const wanted = wantedGrants(budgets, '0', page, prepaidShortfalls(page, report), limits);
  * if (wanted.size > 0) await write(grantPrepaid(budgets, '0', page, wanted, limits));
  */
 export function wantedGrants(
@@ -126,7 +130,7 @@
   for (const [account, limit] of limits) {
     if (wanted.has(account)) continue;
     const fair = fairGrant(ungrantedPrepaid(budgets, account, limit), groups);
-    const unallocated = undealtPrepaid(page.accounts[account] ?? emptyPrepaidAccount());
+    const unallocated = unallocatedPrepaid(page.accounts[account] ?? emptyPrepaidAccount());
     const available = unallocated + pendingGrant(budgets, group, page, account);
     if (available < LOW_GRANT_FRACTION * fair) wanted.set(account, 0);
   }
@@ -155,7 +159,7 @@
  * group's page shows.
  *
  * @example
- * const next = grantPrepaid(budgets, '0', page, lackingPrepaid(page, report), limits);
+ * const next = grantPrepaid(budgets, '0', page, prepaidShortfalls(page, report), limits);
  */
 export function grantPrepaid(
   budgets: PrepaidBudgets,
@@ -206,7 +210,7 @@
   for (const [name, { limitPart, beyond, groups }] of outlook) {
     const account = accounts[name];
     if (!account) continue;
-    const unallocated = undealtPrepaid(account);
+    const unallocated = unallocatedPrepaid(account);
     const fair = (beyond + unallocated / groups) / GRANT_DIVISOR;
     const surplus = Math.floor(unallocated - fair);
     if (unallocated <= GRANT_DIVISOR * fair || surplus < MIN_RETURN_FRACTION * limitPart) continue;
@@ -217,7 +221,7 @@
 
 function returnAll(page: PrepaidPage): PrepaidPage {
   const accounts = Object.entries(page.accounts).map(([name, account]) => {
-    return [name, { ...account, returned: account.returned + undealtPrepaid(account) }];
+    return [name, { ...account, returned: account.returned + unallocatedPrepaid(account) }];
   });
   return { ...page, accounts: Object.fromEntries(accounts) as PrepaidPage['accounts'] };
 }
--- a/packages/core/src/runtime/prepaid/prepaidHolder.ts
+++ b/packages/core/src/runtime/prepaid/prepaidHolder.ts
@@ -39,9 +39,9 @@
    * Milliseconds after which the instance reports even if nothing has changed, so that its group
    * can distinguish it from a failed instance.
    */
-  aliveMs: number;
+  maxReportIntervalMs: number;
   /** Whether callers are expected to stay after an account's first request here. @default 'stay' */
-  newcomers?: Newcomers;
+  callerAffinity?: CallerAffinity;
 }
 
 /**
@@ -49,7 +49,7 @@
  * before. At one of few instances, they mostly stay. At one of many, they were more likely refused
  * by another instance, and move on.
  */
-export type Newcomers = 'stay' | 'pass-by';
+export type CallerAffinity = 'stay' | 'pass-by';
 
 /** State of one account at this process. */
 interface Holding {
@@ -108,8 +108,8 @@
   readonly #process: string;
   readonly #sizing: PrepaidSizing;
   readonly #lendingSizing: PrepaidSizing;
-  readonly #aliveMs: number;
-  readonly #newcomers: Newcomers;
+  readonly #maxReportIntervalMs: number;
+  readonly #callerAffinity: CallerAffinity;
   readonly #holdings = new Map<AccountId, Holding>();
   #incarnationNumber = 1;
   #nextSeq = 1;
@@ -122,13 +122,20 @@
   #observedSince: EpochMs = Infinity;
 
   constructor(options: PrepaidHolderOptions) {
-    const { instance, process, sizing, lendingSizing, aliveMs, newcomers = 'stay' } = options;
+    const {
+      instance,
+      process,
+      sizing,
+      lendingSizing,
+      maxReportIntervalMs,
+      callerAffinity = 'stay',
+    } = options;
     this.instance = instance;
     this.#process = process;
     this.#sizing = sizing;
     this.#lendingSizing = lendingSizing ?? sizing;
-    this.#aliveMs = aliveMs;
-    this.#newcomers = newcomers;
+    this.#maxReportIntervalMs = maxReportIntervalMs;
+    this.#callerAffinity = callerAffinity;
   }
 
   /** Identifies the holder of the tokens. Changes when the tokens of this process are lost. */
@@ -148,17 +155,17 @@
   }
 
   /** Tokens held of all accounts, including reserved tokens. */
-  get heldInAll(): Tokens {
+  get totalHeld(): Tokens {
     return sum([...this.#holdings.values()].map(({ held }) => held));
   }
 
   /** Whether any tokens are held or reserved. */
-  get hasRights(): boolean {
+  get hasTokens(): boolean {
     return [...this.#holdings.values()].some(({ held, reserved }) => held > 0 || reserved > 0);
   }
 
   /** Whether any spending is not reported yet, or a report is in flight. */
-  get hasNews(): boolean {
+  get hasUnreported(): boolean {
     const unreported = [...this.#holdings.values()].some((holding) => holding.unreported > 0);
     return unreported || this.#pending !== undefined;
   }
@@ -195,7 +202,7 @@
     this.observeSize(amount);
     const holding = this.#holding(account);
     this.#observedSince = Math.min(this.#observedSince, now);
-    const since = this.#newcomers === 'stay' ? now : this.#observedSince;
+    const since = this.#callerAffinity === 'stay' ? now : this.#observedSince;
     holding.demandSince = Math.min(holding.demandSince, since);
     holding.demand = observeDemand(holding.demand, amount, now);
   }
@@ -275,7 +282,7 @@
    * because this instance did not report for long. Tokens that requests in progress use are charged
    * already.
    */
-  renew(): void {
+  startNewIncarnation(): void {
     this.#incarnationNumber += 1;
     this.#nextSeq = 1;
     this.#isKnownToPage = false;
@@ -294,7 +301,7 @@
   }
 
   /**
-   * Builds the next report to a group's page; see {@link reportBy}.
+   * Builds the next report to a group's page; see {@link buildReport}.
    *
    * @param outlook the limited accounts, with the data that the page does not contain.
    */
@@ -304,14 +311,14 @@
     now: EpochMs,
     last = false,
   ): PrepaidReport | undefined {
-    return this.reportBy(viewOfPage(page, outlook, this), now, last);
+    return this.buildReport(viewOfPage(page, outlook, this), now, last);
   }
 
   /**
    * Builds the next report, or returns `undefined` if nothing has changed. Tokens that it returns
    * can no longer be spent here, so they are never available in two places.
    */
-  reportBy(view: PrepaidView, now: EpochMs, last = false): PrepaidReport | undefined {
+  buildReport(view: PrepaidView, now: EpochMs, last = false): PrepaidReport | undefined {
     if (this.#pending) return this.#pending;
     const entries: Record<AccountId, PrepaidReportEntry> = {};
     const returned = new Map<AccountId, Tokens>();
@@ -331,7 +338,7 @@
       entries[account] = entry;
       returned.set(account, holding.held - entry.keeps);
     }
-    const isDue = last || now - this.#reportedAt >= this.#aliveMs;
+    const isDue = last || now - this.#reportedAt >= this.#maxReportIntervalMs;
     if (returned.size === 0 && view.isRegistered && !isDue) return undefined;
     this.#reportedAt = now;
     return this.#begin(entries, returned, last);
@@ -374,10 +381,10 @@
       fetchers,
       typicalRequest: this.#typicalRequest,
     };
-    const own = this.#sizing.level({ ...input, rate: ownRate, spread });
+    const own = this.#sizing.target({ ...input, rate: ownRate, spread });
     if (fetchers >= instances) return own + lending.unmet;
     const lender = { ...input, rate: lending.rate, instances: fetchers };
-    return own + this.#lendingSizing.level(lender) + lending.unmet;
+    return own + this.#lendingSizing.target(lender) + lending.unmet;
   }
 
   #entry(
--- a/packages/core/src/runtime/prepaid/prepaidPage.ts
+++ b/packages/core/src/runtime/prepaid/prepaidPage.ts
@@ -67,7 +67,7 @@
 }
 
 /** Tokens of an account that can still be allocated to instances. */
-export function undealtPrepaid(account: PrepaidAccount): Tokens {
+export function unallocatedPrepaid(account: PrepaidAccount): Tokens {
   return Math.max(0, netGrant(account) - account.spent - account.inDoubt - heldPrepaid(account));
 }
 
@@ -89,10 +89,13 @@
  * Returns the tokens that a report requests and the page cannot allocate, by account.
  *
  * @example
- * const shortfalls = lackingPrepaid(page, report);
+ * const shortfalls = prepaidShortfalls(page, report);
  * if (shortfalls.size > 0) await askForGrants(shortfalls);
  */
-export function lackingPrepaid(page: PrepaidPage, report: PrepaidReport): Map<AccountId, Tokens> {
+export function prepaidShortfalls(
+  page: PrepaidPage,
+  report: PrepaidReport,
+): Map<AccountId, Tokens> {
   const shortfalls = new Map<AccountId, Tokens>();
   const after = applyReport(page, report);
   for (const [account, { keeps, wants }] of Object.entries(report.entries)) {
@@ -121,7 +124,7 @@
   const others = withoutKey(account.shares, instance);
   const spent = account.spent + entry.spent;
   const withoutWants = { ...account, spent, shares: { ...others, [instance]: shareOf(entry, 0) } };
-  const share = shareOf(entry, Math.floor(Math.min(entry.wants, undealtPrepaid(withoutWants))));
+  const share = shareOf(entry, Math.floor(Math.min(entry.wants, unallocatedPrepaid(withoutWants))));
   // An empty share would only enlarge the page, which each exchange transfers in both directions.
   return share.held === 0 && share.rate === 0
     ? { ...withoutWants, shares: others }
--- a/packages/core/src/runtime/prepaid/prepaidSizing.ts
+++ b/packages/core/src/runtime/prepaid/prepaidSizing.ts
@@ -35,7 +35,7 @@
    *
    * @default rideThroughSeconds
    */
-  keptSeconds?: number;
+  unallocatedSeconds?: number;
   /**
    * Safety margin in standard deviations of the demand during `rideThroughSeconds`. An account with
    * one request per second at an instance may need twice its mean; with ten per second it hardly
@@ -43,7 +43,7 @@
    */
   deviationFactor: number;
   /** Fraction of the allocatable tokens that is split evenly before any demand is known. */
-  evenPart: number;
+  evenFraction: number;
   /** Typical requests per instance whose tokens stay unallocated. */
   unallocatedRequests: number;
 }
@@ -51,7 +51,7 @@
 export const defaultPrepaidSizing: PrepaidSizingSettings = {
   rideThroughSeconds: 9.5,
   deviationFactor: 1.3,
-  evenPart: 0.05,
+  evenFraction: 0.05,
   unallocatedRequests: 2,
 };
 
@@ -94,7 +94,7 @@
  * disconnected.
  *
  * @example
- * new PrepaidSizing().level({
+ * new PrepaidSizing().target({
  *   rate: 2_000, fleetRate: 10_000, remaining: 900_000, instances: 7, typicalRequest: 5_000,
  * });
  */
@@ -106,11 +106,11 @@
   }
 
   /** Returns the number of free tokens that an instance should hold. */
-  level(input: PrepaidSizingInput): Tokens {
-    const { evenPart, rideThroughSeconds } = this.#settings;
+  target(input: PrepaidSizingInput): Tokens {
+    const { evenFraction, rideThroughSeconds } = this.#settings;
     const { fleetRate, instances, spread = instances, typicalRequest } = input;
     const allocatable = this.#allocatable(input);
-    if (fleetRate <= 0) return Math.floor((allocatable * evenPart) / instances);
+    if (fleetRate <= 0) return Math.floor((allocatable * evenFraction) / instances);
     const fleetDemand = fleetRate * rideThroughSeconds;
     const own = this.#withSafetyMargin(
       fleetDemand * this.#expectedFraction(input),
@@ -124,13 +124,13 @@
   /**
    * Maximum that all instances hold together. These tokens are in doubt if all instances are killed
    * at once. An account with many remaining tokens may allocate all that its instances can use. An
-   * account with few keeps the demand of `keptSeconds` unallocated for the time after such a loss.
+   * account with few keeps the demand of `unallocatedSeconds` unallocated for the time after such a loss.
    */
   #allocatable(input: PrepaidSizingInput): Tokens {
     const { fleetRate, remaining, instances, spread = instances, typicalRequest } = input;
     const {
       rideThroughSeconds,
-      keptSeconds = rideThroughSeconds,
+      unallocatedSeconds = rideThroughSeconds,
       unallocatedRequests,
     } = this.#settings;
     // If the last tokens were allocated to all instances, none could cover a request, although
@@ -139,7 +139,7 @@
     const available = remaining - Math.min(unallocated, MAX_UNALLOCATED_FRACTION * remaining);
     const allocatable = Math.max(
       MIN_ALLOCATED_FRACTION * available,
-      available - fleetRate * keptSeconds,
+      available - fleetRate * unallocatedSeconds,
     );
     return allocatable < MIN_USEFUL_REQUESTS * typicalRequest * spread ? 0 : allocatable;
   }
--- a/packages/core/src/runtime/spender.ts
+++ b/packages/core/src/runtime/spender.ts
@@ -42,7 +42,7 @@
  * Why a reservation was refused: `no-tokens` if this holder has too few tokens at the moment, the
  * other values by the limits of class and budget.
  */
-export type Shortage = 'no-tokens' | 'class-share' | 'reserved-for-first' | 'budget-spent';
+export type ShortageReason = 'no-tokens' | 'class-share' | 'reserved-for-first' | 'budget-spent';
 
 /** A transfer that the sender announced and that the journal does not include yet. */
 interface TransferCredit {
@@ -83,7 +83,7 @@
   }
 
   /** Whether callers must not append further lines until the journal has caught up. */
-  get full(): boolean {
+  get isFull(): boolean {
     return this.#unapplied.length >= MAX_UNAPPLIED_LINES;
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** Whether the last read journal accepts lines of this holder. */
-  get open(): boolean {
+  get isOpen(): boolean {
     return this.#journal.holders[this.holder]?.state === 'open';
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Whether a change of witnesses is not applied to the journal yet. */
-  get changesWitnesses(): boolean {
+  get hasPendingWitnessChange(): boolean {
     return this.#unapplied.some((line) => line.change.type === 'witnesses');
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Reserves the maximum cost of a request. */
-  reserve(request: SpenderRequest): Result<SpenderReservation, Shortage> {
+  reserve(request: SpenderRequest): Result<SpenderReservation, ShortageReason> {
     const shortage = this.#shortageReason(request);
     if (shortage) return Result.err(shortage);
     const { account, workClass, amount } = request;
@@ -204,7 +204,7 @@
     return Math.max(0, this.free(account) - level);
   }
 
-  #shortageReason(request: SpenderRequest): Shortage | undefined {
+  #shortageReason(request: SpenderRequest): ShortageReason | undefined {
     if (request.amount === 0) return undefined;
     const isShort = this.free(request.account) < request.amount;
     const budget = this.#budgets.get(request.account);
--- a/packages/core/src/runtime/witness.ts
+++ b/packages/core/src/runtime/witness.ts
@@ -43,9 +43,9 @@
  * fence can be removed once the journal shows that the holder has ended.
  *
  * @example
- * keepLines(witness, lines, journal).map((next) => (witness = next));
+ * storeLines(witness, lines, journal).map((next) => (witness = next));
  */
-export function keepLines(
+export function storeLines(
   state: WitnessState,
   lines: readonly JournalLine[],
   journal: JournalState,
@@ -93,7 +93,7 @@
 }
 
 /** Returns the stored lines of all holders, for replay into the journal. */
-export function keptLines(state: WitnessState): JournalLine[] {
+export function storedLines(state: WitnessState): JournalLine[] {
   return Object.values(state.holders).flatMap((held) => held.lines);
 }
 
--- a/packages/gateway/src/node/lenders.ts
+++ b/packages/gateway/src/node/lenders.ts
@@ -3,7 +3,7 @@
 import type { AccountId, FleetInstance, PrepaidHolder } from '@flamingocourse/core';
 import type { GatewayContext } from '../types/context.js';
 import type { LoanCalls } from '../types/loans.js';
-import { orderSpenders } from '@flamingocourse/core';
+import { orderLenders } from '@flamingocourse/core';
 import { LoanTokens } from './loanTokens.js';
 
 /** Number of lenders that an instance tries in turn before it considers itself cut off. */
@@ -25,7 +25,7 @@
  * Lenders in use, and former lenders whose tokens are still held.
  *
  * @example
- * lenders.use(chooseSpenders(all, dataCentre), rankSpenders(all, dataCentre));
+ * lenders.use(chooseLenders(all, dataCentre), rankLenders(all, dataCentre));
  * const [first] = lenders.inOrder('club-7');
  */
 export class Lenders {
@@ -50,7 +50,7 @@
 
   /** The lenders to ask for tokens of an account, in this order. */
   inOrder(account: AccountId): LoanTokens[] {
-    return orderSpenders(this.#inUse, account).flatMap(({ name }) => this.#loans.get(name) ?? []);
+    return orderLenders(this.#inUse, account).flatMap(({ name }) => this.#loans.get(name) ?? []);
   }
 
   /**
--- a/packages/gateway/src/node/loanDesk.ts
+++ b/packages/gateway/src/node/loanDesk.ts
@@ -53,16 +53,16 @@
    */
   async lend(request: LoanRequest, tokens: StoreTokens): Promise<LoanAnswer> {
     const { report, urgent, lender } = request;
-    const { life } = this.book;
+    const { incarnation: life } = this.book;
     if (lender !== undefined && lender !== life) return { type: 'forgotten', lender: life };
-    const end = this.book.take(report, urgent, this.#now());
+    const end = this.book.applyReport(report, urgent, this.#now());
     this.#logChargedLoans();
     if (end === 'forgotten') return { type: 'forgotten', lender: life };
     if (request.typicalRequest > 0) this.#options.holder.observeSize(request.typicalRequest);
-    const shortfalls = this.book.lacking(report, urgent);
+    const shortfalls = this.book.shortfalls(report, urgent);
     await fetchShortfalls(shortfalls, tokens);
-    if (this.book.life !== life) return { type: 'forgotten', lender: this.book.life };
-    this.book.lendLacking(report, shortfalls);
+    if (this.book.incarnation !== life) return { type: 'forgotten', lender: this.book.incarnation };
+    this.book.lendShortfalls(report, shortfalls);
     return this.#answer(request, life, tokens);
   }
 
@@ -71,7 +71,7 @@
    */
   dropLostBorrowers(): string[] {
     const { silentMs } = this.#options.context.settings.prepaid;
-    const lost = this.book.dropSilent(silentMs, this.#now());
+    const lost = this.book.chargeSilentBorrowers(silentMs, this.#now());
     this.#logChargedLoans();
     return lost;
   }
@@ -125,7 +125,8 @@
 
   #logChargedLoans(): void {
     const { log } = this.#options.context;
-    for (const lost of this.book.takeLost()) log.write('prepaid-loans-charged', { ...lost });
+    for (const lost of this.book.takeChargedLoans())
+      log.write('prepaid-loans-charged', { ...lost });
   }
 
   #now(): number {
--- a/packages/gateway/src/node/loanTokens.ts
+++ b/packages/gateway/src/node/loanTokens.ts
@@ -105,8 +105,8 @@
 
   /** Whether nothing is held and nothing remains to be reported. */
   get isEmpty(): boolean {
-    const { hasRights, hasNews } = this.#holder;
-    return !hasRights && !hasNews && this.#forgottenLoans.length === 0;
+    const { hasTokens, hasUnreported } = this.#holder;
+    return !hasTokens && !hasUnreported && this.#forgottenLoans.length === 0;
   }
 
   /** Starts to report at regular intervals. */
@@ -137,7 +137,7 @@
     const holders = [this.#holder, ...this.#forgottenLoans];
     const holder = holders.find(({ incarnation }) => incarnation === reservation.incarnation);
     holder?.settle(reservation, used);
-    this.#forgottenLoans = this.#forgottenLoans.filter(({ hasRights }) => hasRights);
+    this.#forgottenLoans = this.#forgottenLoans.filter(({ hasTokens }) => hasTokens);
     return holder !== undefined;
   }
 
@@ -206,7 +206,7 @@
   async #exchange(last: boolean): Promise<void> {
     const { calls, lender } = this.#options;
     const holder = this.#holder;
-    const report = holder.reportBy(this.#view(), this.#now(), last);
+    const report = holder.buildReport(this.#view(), this.#now(), last);
     if (!report) return;
     const answer = await calls.ask(lender, {
       lender: this.#lenderIncarnation,
@@ -253,20 +253,20 @@
       lender: this.name,
       seq: report.seq,
       accounts: Object.keys(report.entries).length,
-      held: this.#holder.heldInAll,
+      held: this.#holder.totalHeld,
     });
   }
 
   /** Starts again with an empty holder, because the lender's process does not know the loans. */
   #renew(lenderIncarnation: IncarnationId): void {
     const { context, createHolder } = this.#options;
-    const { heldInAll } = this.#holder;
+    const { totalHeld } = this.#holder;
     context.log.write('prepaid-loans-forgotten', {
       lender: this.name,
       life: lenderIncarnation,
-      held: heldInAll,
+      held: totalHeld,
     });
-    if (this.#holder.hasRights) this.#forgottenLoans.push(this.#holder);
+    if (this.#holder.hasTokens) this.#forgottenLoans.push(this.#holder);
     this.#generation += 1;
     this.#holder = createHolder(String(this.#generation));
     this.#lenderIncarnation = undefined;
--- a/packages/gateway/src/node/prepaidGrants.ts
+++ b/packages/gateway/src/node/prepaidGrants.ts
@@ -19,7 +19,7 @@
   hasReturns,
   joinGroup,
   leaveGroup,
-  leftPrepaid,
+  maxRemainingPrepaid,
   prepaidOutlook,
   sum,
   ungrantedPrepaid,
@@ -109,7 +109,10 @@
     const entry = page?.accounts[account];
     const here = entry ? entry.spent + entry.inDoubt : 0;
     const before = this.known.grants[account]?.[this.#group]?.gone ?? 0;
-    return Math.max(0, leftPrepaid(this.known, account, limit) - Math.max(0, here - before));
+    return Math.max(
+      0,
+      maxRemainingPrepaid(this.known, account, limit) - Math.max(0, here - before),
+    );
   }
 
   forget(): void {
--- a/packages/gateway/src/node/prepaidPages.ts
+++ b/packages/gateway/src/node/prepaidPages.ts
@@ -12,18 +12,18 @@
 import type { Unit } from 'true-myth';
 import type { GatewayContext } from '../types/context.js';
 import {
-  MemberWatch,
+  MemberFailureDetector,
   applyReport,
   createPrepaidPage,
   dropWriter,
   hasReport,
   isFenced,
-  lackingPrepaid,
+  prepaidShortfalls,
   membersOf,
   nextGroup,
   returnSurplus,
   takeGrants,
-  undealtPrepaid,
+  unallocatedPrepaid,
 } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 import { prepaidPageSchema } from '../utils/prepaidSchemas.js';
@@ -51,7 +51,7 @@
 interface WatchedPage {
   group: string;
   page: StoredObject<PrepaidPage>;
-  watch: MemberWatch;
+  watch: MemberFailureDetector;
 }
 
 /**
@@ -115,7 +115,7 @@
   /** Tokens that this instance could get, according to the last read. */
   available(account: AccountId, limit: Tokens): Tokens {
     const entry = this.page?.accounts[account];
-    return this.#grants.ungranted(account, limit) + (entry ? undealtPrepaid(entry) : 0);
+    return this.#grants.ungranted(account, limit) + (entry ? unallocatedPrepaid(entry) : 0);
   }
 
   /** Upper bound of the tokens left of an account, according to the last read. */
@@ -157,7 +157,7 @@
     const seen = read.value;
     if (isFenced(seen, report)) return Result.ok('fenced');
     if (!hasReport(seen, report)) {
-      const asked = await this.#grants.ask(seen, lackingPrepaid(seen, report), limits);
+      const asked = await this.#grants.ask(seen, prepaidShortfalls(seen, report), limits);
       if (asked.isErr) return Result.err(asked.error);
       if (asked.value === 'busy') this.#logBusy('grants');
     }
@@ -246,7 +246,7 @@
   #createWatchedPage(group: string): WatchedPage {
     const { store, settings } = this.#context;
     const page = new StoredObject(store, pageCollection, group, createPrepaidPage);
-    return { group, page, watch: new MemberWatch(settings.prepaid.silentMs) };
+    return { group, page, watch: new MemberFailureDetector(settings.prepaid.silentMs) };
   }
 
   #now(): number {
--- a/packages/gateway/src/node/prepaidService.ts
+++ b/packages/gateway/src/node/prepaidService.ts
@@ -4,7 +4,7 @@
   AccountId,
   LoanAnswer,
   LoanRequest,
-  Newcomers,
+  CallerAffinity,
   PrepaidLimits,
   PrepaidReservation,
   Refusal,
@@ -16,7 +16,7 @@
 import type { LoanCalls } from '../types/loans.js';
 import type { TokenSource } from '../types/tokenSource.js';
 import { isDeepStrictEqual } from 'node:util';
-import { PrepaidHolder, PrepaidSizing, chooseSpenders, rankSpenders } from '@flamingocourse/core';
+import { PrepaidHolder, PrepaidSizing, chooseLenders, rankLenders } from '@flamingocourse/core';
 import { Service, startTimeLimit } from '@flamingocourse/kernel';
 import { notRun } from '@flamingocourse/router';
 import { Result } from 'true-myth';
@@ -104,7 +104,7 @@
     const sizing = new PrepaidSizing({ rideThroughSeconds });
     const holder = this.#createHolder(incarnation, sizing, 'stay');
     const keptSeconds = rideThroughSeconds + LOAN_REPORT_SECONDS;
-    const loanSizing = new PrepaidSizing({ rideThroughSeconds, keptSeconds });
+    const loanSizing = new PrepaidSizing({ rideThroughSeconds, unallocatedSeconds: keptSeconds });
     this.#lenders = new Lenders({
       context,
       calls,
@@ -270,19 +270,19 @@
     if (all.length === 0 || this.#stopping || !this.#limits) return;
     if (!this.#instances?.isSettled) return;
     const { instance, dataCentre, listen } = this.#context.settings;
-    const lenders = chooseSpenders(all, dataCentre);
+    const lenders = chooseLenders(all, dataCentre);
     const isListed = lenders.length === 0 || lenders.some(({ name }) => name === instance);
     this.#isLender = isListed || !listen.mesh || this.#now() < this.#actingLenderUntil;
     if (this.#isLender) {
       this.#lenders.release();
       this.#store.hold();
     } else {
-      this.#lenders.use(lenders, rankSpenders(all, dataCentre));
+      this.#lenders.use(lenders, rankLenders(all, dataCentre));
       this.#store.retire();
     }
   }
 
-  #createHolder(process: string, sizing: PrepaidSizing, newcomers: Newcomers): PrepaidHolder {
+  #createHolder(process: string, sizing: PrepaidSizing, newcomers: CallerAffinity): PrepaidHolder {
     const { instance, prepaid } = this.#context.settings;
     return new PrepaidHolder({
       instance,
@@ -290,10 +290,10 @@
       sizing,
       lendingSizing: new PrepaidSizing({
         rideThroughSeconds: LENDING_RESERVE_SECONDS,
-        evenPart: INITIAL_LENDING_SHARE,
+        evenFraction: INITIAL_LENDING_SHARE,
       }),
-      aliveMs: prepaid.silentMs / REPORTS_WITHIN_SILENCE,
-      newcomers,
+      maxReportIntervalMs: prepaid.silentMs / REPORTS_WITHIN_SILENCE,
+      callerAffinity: newcomers,
     });
   }
 
--- a/packages/gateway/src/node/storeTokens.ts
+++ b/packages/gateway/src/node/storeTokens.ts
@@ -241,7 +241,7 @@
 
   /** Whether this instance is retiring and none of its tokens is in use. */
   get #isDone(): boolean {
-    return this.#phase === 'retiring' && !this.#holder.hasRights;
+    return this.#phase === 'retiring' && !this.#holder.hasTokens;
   }
 
   async #report(last: boolean): Promise<SyncOutcome> {
@@ -252,7 +252,7 @@
     // the store is reachable, even if the report fails because of conflicts with other writers.
     this.#reachability.heard();
     if (this.#holder.isForgotten(opened.value)) this.#renew(opened.value);
-    const report = this.#holder.reportBy(this.outlook, this.#now(), last);
+    const report = this.#holder.buildReport(this.outlook, this.#now(), last);
     if (report) {
       const sent = await this.#pages.send(report, limits);
       if (sent.isErr) return this.#fail(sent.error);
@@ -270,7 +270,7 @@
     if (left.isErr) return left;
     this.#phase = 'idle';
     // the page no longer knows this process, so it needs a new incarnation to hold tokens again.
-    this.#holder.renew();
+    this.#holder.startNewIncarnation();
     return left;
   }
 
@@ -278,7 +278,7 @@
   #renew(page: PrepaidPage): void {
     const { log, settings } = this.#options.context;
     const { incarnation } = this.#holder;
-    this.#holder.renew();
+    this.#holder.startNewIncarnation();
     log.write('prepaid-rights-lost', {
       incarnation,
       renewed: this.#holder.incarnation,
--- a/packages/lab/src/runtime/naive/reducerFleet.ts
+++ b/packages/lab/src/runtime/naive/reducerFleet.ts
@@ -6,7 +6,7 @@
 import type { IncarnationId, JournalChange, TicketId, Tokens } from '@flamingocourse/core';
 import type { ReducerRouter } from './reducerRouter.js';
 import type { DeathPoint, FleetEvent, Outcome, RequestEvent } from './types.js';
-import { Spender, claim, hasInterval, keepLines, pool, takeOver } from '@flamingocourse/core';
+import { Spender, claim, hasInterval, storeLines, pool, takeOver } from '@flamingocourse/core';
 import { LabError } from '../../utils/labError.js';
 import { createRouter } from './reducerRouter.js';
 import { ACCOUNT, DATA_CENTRES, ReducerStore } from './reducerStore.js';
@@ -81,7 +81,7 @@
     const router = this.#router(index);
     this.#sync(router);
     // a router that cannot look the key up does not know whether it ran elsewhere.
-    if (!router.spender.open) return isNonIdempotent(key) ? 'unknown' : 'not-run';
+    if (!router.spender.isOpen) return isNonIdempotent(key) ? 'unknown' : 'not-run';
     const known = router.known.get(key);
     if (known) return known;
     const ticket: TicketId = { issuer: router.spender.holder, number: key };
@@ -95,7 +95,7 @@
     const ticket = this.#tickets.get(next.number) ?? next;
     this.#tickets.set(ticket.number, ticket);
     const issuer = this.#routers.find((one) => one.spender.holder === ticket.issuer);
-    if (issuer && !issuer.spender.open) return 'unknown';
+    if (issuer && !issuer.spender.isOpen) return 'unknown';
     if (issuer) return issuer.known.get(ticket.number) ?? this.#run(issuer, ticket, dies);
     if (!this.#isUp) return 'unknown';
     const journal = this.store.journals.find((one) => one.holders[ticket.issuer]);
@@ -199,7 +199,7 @@
 
   #giveIdle(peer: ReducerRouter): void {
     this.#sync(peer);
-    const amount = peer.spender.open ? peer.spender.free(ACCOUNT) : 0;
+    const amount = peer.spender.isOpen ? peer.spender.free(ACCOUNT) : 0;
     if (amount > 0) this.#record(peer, { type: 'give', account: ACCOUNT, amount });
   }
 
@@ -226,7 +226,7 @@
     const peers = this.#routers.filter((one) => spender.witnesses.includes(one.spender.holder));
     for (const peer of peers) {
       const lines = spender.unapplied;
-      const kept = keepLines(peer.witness, lines, this.store.journal(dataCentre));
+      const kept = storeLines(peer.witness, lines, this.store.journal(dataCentre));
       if (kept.isErr) continue;
       peer.witness = kept.value;
       router.keptSeq = lines.at(-1)?.seq ?? router.keptSeq;
--- a/packages/lab/src/runtime/naive/reducerStore.ts
+++ b/packages/lab/src/runtime/naive/reducerStore.ts
@@ -3,7 +3,7 @@
 import type { IncarnationId, JournalLine, JournalState, Tokens } from '@flamingocourse/core';
 import type { ReducerRouter } from './reducerRouter.js';
 import {
-  answeringIncarnation,
+  currentIncarnationOf,
   applyLines,
   changeBudget,
   createClaimPage,
@@ -103,7 +103,7 @@
     this.#set(started.value);
     const lines: JournalLine[] = [];
     for (const named of started.value.holders[holder]?.witnesses ?? []) {
-      const id = answeringIncarnation(started.value, named);
+      const id = currentIncarnationOf(started.value, named);
       const witness = routers.find((router) => router.spender.holder === id);
       if (!witness) return false;
       const fenced = fence(witness.witness, holder);
--- a/packages/lab/src/runtime/prepaidExperiment/runPrepaidExperiment.ts
+++ b/packages/lab/src/runtime/prepaidExperiment/runPrepaidExperiment.ts
@@ -13,7 +13,7 @@
   createPrepaidPage,
   grantPrepaid,
   joinGroup,
-  lackingPrepaid,
+  prepaidShortfalls,
   prepaidOutlook,
   returnSurplus,
   takeGrants,
@@ -160,7 +160,7 @@
     const report = holder.beginReport(this.#page, outlook, now * 1_000);
     if (!report) return;
     this.result.exchanges += 1;
-    const lacking = lackingPrepaid(this.#page, report);
+    const lacking = prepaidShortfalls(this.#page, report);
     const wanted = wantedGrants(this.#budgets, GROUP, this.#page, lacking, limits);
     if (wanted.size > 0) {
       this.#budgets = grantPrepaid(this.#budgets, GROUP, this.#page, wanted, limits);
@@ -178,7 +178,12 @@
 
   #createHolder(instance: string): PrepaidHolder {
     const process = `${instance}-${String(this.#kills)}`;
-    return new PrepaidHolder({ instance, process, sizing: this.#sizing, aliveMs: ALIVE_MS });
+    return new PrepaidHolder({
+      instance,
+      process,
+      sizing: this.#sizing,
+      maxReportIntervalMs: ALIVE_MS,
+    });
   }
 
   #isCut(now: number): boolean {
--- a/packages/lab/src/runtime/walk/mutants.ts
+++ b/packages/lab/src/runtime/walk/mutants.ts
@@ -10,7 +10,7 @@
   createWitness,
   grant,
   hasInterval,
-  keepLines,
+  storeLines,
   mergeReturned,
   pool,
   startSeal,
@@ -89,7 +89,7 @@
       const holder = lines[0]?.holder ?? '';
       const kept = state.holders[holder]?.lines ?? [];
       const open = { holders: { ...state.holders, [holder]: { fenced: false, lines: kept } } };
-      return keepLines(open, lines, journal);
+      return storeLines(open, lines, journal);
     },
   }),
   mutant('witness forgets lines when fenced', 'witnesses', {
--- a/packages/router/src/node/money/claimKeeper.ts
+++ b/packages/router/src/node/money/claimKeeper.ts
@@ -7,7 +7,7 @@
 import {
   claim,
   createClaimPage,
-  giveUp,
+  releaseClaim,
   pageOf,
   pruneClaims,
   takeOver,
@@ -93,7 +93,7 @@
     const written = await this.#writer(keyDigest).change((page) => {
       const pruned = this.#pruned(page);
       const hasRoom = !isFull(pruned) || keyDigest in pruned.claims;
-      return Result.ok(hasRoom ? giveUp(pruned, keyDigest, claimed) : page);
+      return Result.ok(hasRoom ? releaseClaim(pruned, keyDigest, claimed) : page);
     });
     if (written.isOk) this.#unreleased.delete(name);
   }
--- a/packages/router/src/node/money/holderSession.ts
+++ b/packages/router/src/node/money/holderSession.ts
@@ -79,7 +79,7 @@
 
   /** Whether this incarnation is registered in the journal and neither sealed nor closed. */
   get open(): boolean {
-    return this.#registered && this.spender.open && !this.log.sealed;
+    return this.#registered && this.spender.isOpen && !this.log.sealed;
   }
 
   /**
@@ -103,7 +103,7 @@
     this.spender.sync(journal);
     this.log.settleKept();
     // A journal read before the registration does not contain the holder and says nothing about it.
-    if (journal.holders[this.spender.holder] && !this.spender.open) this.log.seal();
+    if (journal.holders[this.spender.holder] && !this.spender.isOpen) this.log.seal();
   }
 
   /** Issues the next ticket. */
@@ -121,7 +121,7 @@
 
   /** Replaces witnesses that are not alive, and adds some when too few are registered. */
   renewWitnesses(): void {
-    if (!this.open || this.spender.changesWitnesses) return;
+    if (!this.open || this.spender.hasPendingWitnessChange) return;
     const named = this.spender.witnesses.filter((one) => this.#isAlive(one));
     const wanted = this.#chooseWitnesses(named);
     const isSame =
--- a/packages/router/src/node/money/lineLog.ts
+++ b/packages/router/src/node/money/lineLog.ts
@@ -68,7 +68,7 @@
   record(changes: JournalChange[]): Promise<Result<'kept', AppendFault>> {
     const { spender } = this.#options;
     if (this.#sealed) return Promise.resolve(Result.err('sealed'));
-    if (spender.full) return Promise.resolve(Result.err('unreachable'));
+    if (spender.isFull) return Promise.resolve(Result.err('unreachable'));
     const seqs = changes.map((change) => spender.append(change).seq);
     this.#toJournal.offer(true);
     this.#toWitness.offer(true);
--- a/packages/router/src/node/money/moneyRefusals.ts
+++ b/packages/router/src/node/money/moneyRefusals.ts
@@ -1,6 +1,6 @@
 /** Refusals by the budget services, with messages for callers. */
 
-import type { Refusal, Shortage } from '@flamingocourse/core';
+import type { Refusal, ShortageReason } from '@flamingocourse/core';
 
 /** Retry hint in milliseconds: by then tokens may have been returned or topped up. */
 const RETRY_BUDGET_MS = 5_000;
@@ -41,7 +41,7 @@
 }
 
 /** Refusal when no tokens could be reserved. */
-export function refuseShortage(shortage: Shortage, isPlatformUp: boolean): Refusal {
+export function refuseShortage(shortage: ShortageReason, isPlatformUp: boolean): Refusal {
   if (shortage === 'class-share') {
     return {
       reason: 'class-share-exhausted',
--- a/packages/router/src/node/money/moneyService.ts
+++ b/packages/router/src/node/money/moneyService.ts
@@ -7,7 +7,7 @@
   JournalLine,
   Outcome,
   Refusal,
-  Shortage,
+  ShortageReason,
   SlicePolicy,
   TicketId,
   Tokens,
@@ -375,7 +375,7 @@
     if (shortfall > 0) parts.fetchTokens(account, shortfall);
   }
 
-  #refusal(shortage: Shortage): Refusal {
+  #refusal(shortage: ShortageReason): Refusal {
     return refuseShortage(shortage, this.#parts?.writer.reachable ?? false);
   }
 
--- a/packages/router/src/node/money/sealer.ts
+++ b/packages/router/src/node/money/sealer.ts
@@ -12,7 +12,7 @@
 import type { JournalWriter } from './lineRoutes.js';
 import type { MoneyPeers } from '../../types/moneyPorts.js';
 import type { WitnessStore } from './witnessStore.js';
-import { answeringIncarnation, finishSeal, startSeal } from '@flamingocourse/core';
+import { currentIncarnationOf, finishSeal, startSeal } from '@flamingocourse/core';
 
 /** Options of {@link Sealer}. */
 export interface SealerOptions {
@@ -74,7 +74,7 @@
   async #fenceAll(holder: IncarnationId, state: JournalState): Promise<JournalLine[] | undefined> {
     const lines: JournalLine[] = [];
     for (const named of state.holders[holder]?.witnesses ?? []) {
-      const witness = answeringIncarnation(state, named);
+      const witness = currentIncarnationOf(state, named);
       // A router closes only after the lines that it stores are in the journal, and then accepts
       // none.
       if (state.holders[witness]?.state === 'closed') continue;
--- a/packages/router/src/node/money/segmentRoller.ts
+++ b/packages/router/src/node/money/segmentRoller.ts
@@ -6,7 +6,7 @@
 import type { BillSegment } from '@flamingocourse/core';
 import type { JournalWriter } from './lineRoutes.js';
 import type { ObjectStore } from '../../types/moneyPorts.js';
-import { openSegment, pruneHolders, rollSegment } from '@flamingocourse/core';
+import { currentSegment, pruneHolders, rollSegment } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 import { segmentName } from './ticketResolver.js';
 
@@ -25,8 +25,8 @@
 ): Promise<void> {
   // A segment never changes once written, so it may contain stored bills only. `latest` is stored.
   const state = writer.latest?.state;
-  if (!state || sizeOf(openSegment(state)) < size) return;
-  const segment = openSegment(state);
+  if (!state || sizeOf(currentSegment(state)) < size) return;
+  const segment = currentSegment(state);
   const name = segmentName(segment.dataCentre, segment.number);
   const created = await store.create('segments', name, segment);
   const stored = created.isErr ? await store.get('segments', name) : created;
--- a/packages/router/src/node/money/witnessStore.ts
+++ b/packages/router/src/node/money/witnessStore.ts
@@ -8,8 +8,8 @@
   createWitness,
   dropApplied,
   fence,
-  keepLines,
-  keptLines,
+  storeLines,
+  storedLines,
 } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 
@@ -21,7 +21,7 @@
 
   /** Whether no lines are stored. Lines are dropped once a newer journal contains them. */
   get isEmpty(): boolean {
-    return keptLines(this.#state).length === 0;
+    return storedLines(this.#state).length === 0;
   }
 
   /** Accepts a newer journal and drops the lines that it contains. */
@@ -33,7 +33,7 @@
   /** Stores lines for a peer. Refuses before the first journal was read and after `close`. */
   keep(lines: JournalLine[]): Result<'kept', PeerFault> {
     if (!this.#journal || this.#closed) return Result.err('refused');
-    const kept = keepLines(this.#state, lines, this.#journal);
+    const kept = storeLines(this.#state, lines, this.#journal);
     if (kept.isErr) return Result.err('refused');
     this.#state = kept.value;
     return Result.ok('kept');
@@ -57,7 +57,7 @@
    */
   async replay(writer: JournalWriter): Promise<void> {
     const holders = new Map<IncarnationId, JournalLine[]>();
-    for (const line of keptLines(this.#state)) {
+    for (const line of storedLines(this.#state)) {
       holders.set(line.holder, [...(holders.get(line.holder) ?? []), line]);
     }
     const writes = [...holders.values()].map((lines) =>
--- a/test/money/claims.test.ts
+++ b/test/money/claims.test.ts
@@ -1,7 +1,7 @@
 import type { Claim, ClaimPage } from '@flamingocourse/core';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { claim, createClaimPage, giveUp, takeOver } from '@flamingocourse/core';
+import { claim, createClaimPage, releaseClaim, takeOver } from '@flamingocourse/core';
 
 const KEY = 'key';
 
@@ -11,7 +11,7 @@
 
 const empty = createClaimPage(0);
 const owned = claim(empty, KEY, claimOf(1)).page;
-const givenUp = giveUp(owned, KEY, claimOf(1));
+const givenUp = releaseClaim(owned, KEY, claimOf(1));
 
 describe('a claim page after a ticket that ended without a bill released its claim', () => {
   // Guards against a provisional bill that waits forever for a ticket that is never billed, and
@@ -67,7 +67,7 @@
   ];
   for (const { name, before, ended, owner, isGivenUp, isWritten } of cases) {
     test(name, () => {
-      const after = giveUp(before, KEY, claimOf(ended));
+      const after = releaseClaim(before, KEY, claimOf(ended));
       assert.equal(after.claims[KEY]?.ticket.number, owner);
       assert.equal(after.claims[KEY].isGivenUp ?? false, isGivenUp);
       assert.equal(after !== before, isWritten);
--- a/test/money/journal.test.ts
+++ b/test/money/journal.test.ts
@@ -9,7 +9,7 @@
   createJournal,
   finishSeal,
   inDoubt,
-  openSegment,
+  currentSegment,
   pool,
   pruneHolders,
   recordGrant,
@@ -161,7 +161,7 @@
   // crashes, and a bill is added before another router rolls the journal.
   const first = linesOf('a', take(500), { type: 'bill', bill: billOf('a', 1, 10) });
   const state = apply(journalWith('a'), first);
-  const segment = openSegment(state);
+  const segment = currentSegment(state);
   const later = apply(state, [
     { holder: 'a', seq: 3, change: { type: 'bill', bill: billOf('a', 2, 20) } },
   ]);
--- a/test/money/killPoints.test.ts
+++ b/test/money/killPoints.test.ts
@@ -8,7 +8,7 @@
   createWitness,
   fence,
   finishSeal,
-  keepLines,
+  storeLines,
   pool,
   recordGrant,
   registerHolder,
@@ -73,7 +73,7 @@
       journal = applyLines(journal, spender.unapplied).unwrapOr(journal);
     }
     if (reached('line-sent') && platform === 'out') {
-      witness = keepLines(witness, spender.unapplied, journal).unwrapOr(witness);
+      witness = storeLines(witness, spender.unapplied, journal).unwrapOr(witness);
     }
     journal = startSeal(journal, 'a').unwrapOr(journal);
     journal = finishSeal(journal, 'a', fence(witness, 'a').lines).unwrapOr(journal);
@@ -82,7 +82,7 @@
     // The router resumes and tries to write another bill.
     spender.append({ type: 'bill', bill: { ...bill, ticket: 2 } });
     assert.equal(applyLines(journal, spender.unapplied).isErr, true);
-    assert.equal(keepLines(fence(witness, 'a').state, spender.unapplied, journal).isErr, true);
+    assert.equal(storeLines(fence(witness, 'a').state, spender.unapplied, journal).isErr, true);
   });
 }
 
--- a/test/money/moneyProperties.test.ts
+++ b/test/money/moneyProperties.test.ts
@@ -11,7 +11,7 @@
   dropApplied,
   fence,
   finishSeal,
-  keepLines,
+  storeLines,
   recordGrant,
   registerHolder,
   startSeal,
@@ -135,7 +135,7 @@
   }
 
   #keep(spender: Spender): boolean {
-    const kept = keepLines(this.witness, spender.unapplied, this.#witnessView);
+    const kept = storeLines(this.witness, spender.unapplied, this.#witnessView);
     if (kept.isErr) return false;
     this.witness = kept.value;
     this.#markSeen(spender.unapplied);
--- a/test/prepaid/demandSpread.test.ts
+++ b/test/prepaid/demandSpread.test.ts
@@ -53,7 +53,7 @@
   const sizing = new PrepaidSizing();
 
   test('holds the demand of its callers at the instances that they use', () => {
-    const level = sizing.level(situation);
+    const level = sizing.target(situation);
     assert.ok(
       level >= OUTAGE_SECONDS * rate,
       `${String(level)} of ${String(OUTAGE_SECONDS * rate)}`,
@@ -61,7 +61,7 @@
   });
 
   test('leaves the demand of its callers unallocated for a loss of all instances', () => {
-    const left = situation.remaining - USED_INSTANCES * sizing.level(situation);
+    const left = situation.remaining - USED_INSTANCES * sizing.target(situation);
     assert.ok(left >= OUTAGE_SECONDS * situation.fleetRate, `${String(left)} left`);
   });
 });
--- a/test/prepaid/loanBook.test.ts
+++ b/test/prepaid/loanBook.test.ts
@@ -8,10 +8,15 @@
 /** Creates a lender that holds `HELD` tokens of one account. */
 function lender(): { holder: PrepaidHolder; book: LoanBook } {
   const sizing = new PrepaidSizing();
-  const holder = new PrepaidHolder({ instance: 's', process: 's-1', sizing, aliveMs: 120_000 });
+  const holder = new PrepaidHolder({
+    instance: 's',
+    process: 's-1',
+    sizing,
+    maxReportIntervalMs: 120_000,
+  });
   const view = { remaining: HELD, othersRate: 0 };
   holder.reserve('shop', HELD);
-  holder.reportBy(
+  holder.buildReport(
     { isRegistered: false, instances: 1, fetchers: 1, accounts: new Map([['shop', view]]) },
     0,
   );
@@ -66,7 +71,8 @@
   for (const { name, reports, expected } of cases) {
     test(name, () => {
       const { holder, book } = lender();
-      for (const [at, next] of reports.entries()) assert.equal(book.take(next, {}, at), 'taken');
+      for (const [at, next] of reports.entries())
+        assert.equal(book.applyReport(next, {}, at), 'taken');
       assert.deepEqual(
         { held: book.held('b', 'shop'), free: holder.free('shop'), left: holder.held('shop') },
         expected,
@@ -77,7 +83,7 @@
   test('lends what waiting requests need, even if it is more than half of the free tokens', () => {
     const { holder, book } = lender();
     const waiting = report(1, { wants: 30_000 });
-    book.take(waiting, { shop: 8_000 }, 0);
+    book.applyReport(waiting, { shop: 8_000 }, 0);
     assert.equal(book.held('b', 'shop'), 8_000);
     assert.equal(holder.free('shop'), 2_000);
   });
@@ -86,11 +92,11 @@
   test('lends a shortfall only to the report that had it', () => {
     const { book } = lender();
     const first = report(1, { wants: 0 });
-    book.take(first, {}, 0);
-    book.lendLacking(first, new Map([['shop', 1_000]]));
+    book.applyReport(first, {}, 0);
+    book.lendShortfalls(first, new Map([['shop', 1_000]]));
     assert.equal(book.held('b', 'shop'), 1_000);
-    book.take(report(2, { keeps: 0 }), {}, 1);
-    book.lendLacking(first, new Map([['shop', 1_000]]));
+    book.applyReport(report(2, { keeps: 0 }), {}, 1);
+    book.lendShortfalls(first, new Map([['shop', 1_000]]));
     assert.equal(book.held('b', 'shop'), 0);
   });
 });
@@ -127,28 +133,30 @@
   for (const { name, before, next, expected } of cases) {
     test(name, () => {
       const { holder, book } = lender();
-      for (const earlier of before) book.take(earlier, {}, 0);
-      assert.equal(book.take(next, {}, 1), 'forgotten');
+      for (const earlier of before) book.applyReport(earlier, {}, 0);
+      assert.equal(book.applyReport(next, {}, 1), 'forgotten');
       assert.deepEqual({ free: holder.free('shop'), left: holder.held('shop') }, expected);
     });
   }
 
   test('all loans after its own tokens were lost', () => {
     const { holder, book } = lender();
-    book.take(report(1, { wants: 3_000 }), {}, 0);
-    const { life } = book;
-    holder.renew();
-    assert.notEqual(book.life, life);
+    book.applyReport(report(1, { wants: 3_000 }), {}, 0);
+    const { incarnation: life } = book;
+    holder.startNewIncarnation();
+    assert.notEqual(book.incarnation, life);
     assert.equal(book.held('b', 'shop'), 0);
-    assert.equal(book.take(report(2, { keeps: 3_000 }), {}, 1), 'forgotten');
+    assert.equal(book.applyReport(report(2, { keeps: 3_000 }), {}, 1), 'forgotten');
   });
 
   test('a borrower that has not reported for long, and charges its loans', () => {
     const { holder, book } = lender();
-    book.take(report(1, { wants: 3_000 }), {}, 0);
-    assert.deepEqual(book.dropSilent(1_000, 999), []);
-    assert.deepEqual(book.dropSilent(1_000, 1_000), ['b']);
+    book.applyReport(report(1, { wants: 3_000 }), {}, 0);
+    assert.deepEqual(book.chargeSilentBorrowers(1_000, 999), []);
+    assert.deepEqual(book.chargeSilentBorrowers(1_000, 1_000), ['b']);
     assert.equal(holder.held('shop'), HELD - 3_000);
-    assert.deepEqual(book.takeLost(), [{ borrower: 'b', incarnation: 'b-1', tokens: 3_000 }]);
+    assert.deepEqual(book.takeChargedLoans(), [
+      { borrower: 'b', incarnation: 'b-1', tokens: 3_000 },
+    ]);
   });
 });
--- a/test/prepaid/prepaidBudgets.test.ts
+++ b/test/prepaid/prepaidBudgets.test.ts
@@ -8,7 +8,7 @@
   hasReturns,
   joinGroup,
   leaveGroup,
-  leftPrepaid,
+  maxRemainingPrepaid,
   membersOf,
   nextGroup,
   prepaidOutlook,
@@ -193,12 +193,12 @@
 
 // Guards against a final refusal (402) while another group still holds tokens that it will return
 // soon.
-test('leftPrepaid subtracts only tokens that groups reported as spent or in doubt', () => {
+test('maxRemainingPrepaid subtracts only tokens that groups reported as spent or in doubt', () => {
   const granted = grant(budgetsOf('a', 'b', 'c'), '0', 400);
   const spent = pageWith({ granted: 400, spent: 300, inDoubt: 50 });
   const updated = grantPrepaid(granted, '0', spent, new Map([['shop', 10]]), limits);
-  assert.equal(leftPrepaid(updated, 'shop', 1_000), 650);
-  assert.equal(leftPrepaid(granted, 'shop', 1_000), 1_000);
+  assert.equal(maxRemainingPrepaid(updated, 'shop', 1_000), 650);
+  assert.equal(maxRemainingPrepaid(granted, 'shop', 1_000), 1_000);
 });
 
 test('prepaidOutlook divides the limit and the ungranted tokens by the number of groups', () => {
--- a/test/prepaid/prepaidHolder.test.ts
+++ b/test/prepaid/prepaidHolder.test.ts
@@ -1,4 +1,4 @@
-import type { Newcomers, PrepaidPage, PrepaidReport } from '@flamingocourse/core';
+import type { CallerAffinity, PrepaidPage, PrepaidReport } from '@flamingocourse/core';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import {
@@ -10,14 +10,19 @@
   dropWriter,
 } from '@flamingocourse/core';
 
-const ALIVE_MS = 120_000;
+const MAX_REPORT_INTERVAL_MS = 120_000;
 
 const outlook = new Map([['shop', { limitPart: 50_000, beyond: 0, groups: 1 }]]);
 
-function createHolder(newcomers?: Newcomers): PrepaidHolder {
+function createHolder(newcomers?: CallerAffinity): PrepaidHolder {
   const sizing = new PrepaidSizing();
-  const options = { instance: 'a', process: 'process-1', sizing, aliveMs: ALIVE_MS };
-  return new PrepaidHolder(newcomers ? { ...options, newcomers } : options);
+  const options = {
+    instance: 'a',
+    process: 'process-1',
+    sizing,
+    maxReportIntervalMs: MAX_REPORT_INTERVAL_MS,
+  };
+  return new PrepaidHolder(newcomers ? { ...options, callerAffinity: newcomers } : options);
 }
 
 function grantedPage(): PrepaidPage {
@@ -67,7 +72,7 @@
     const { incarnation } = holder;
     assert.equal(holder.isForgotten(page), false);
     assert.equal(holder.isForgotten(dropWriter(page, 'a')), true);
-    holder.renew();
+    holder.startNewIncarnation();
     assert.notEqual(holder.incarnation, incarnation);
     assert.equal(holder.free('shop'), 0);
     assert.equal(holder.unreported('shop'), 0);
@@ -78,7 +83,7 @@
     const running = holder.reserve('shop', 1_000);
     assert.ok(running, 'the request fits');
     const without = dropWriter(page, 'a');
-    holder.renew();
+    holder.startNewIncarnation();
     exchange(holder, without, 20);
     const free = holder.free('shop');
     holder.settle(running, 400);
@@ -139,7 +144,7 @@
 });
 
 // Guards against an idle instance that counts as failed and whose tokens are charged.
-test('a holder reports at least every aliveMs without changes', () => {
+test('a holder reports at least every maxReportIntervalMs without changes', () => {
   const { holder, page } = start();
   // The decay of its demand causes reports during the first minutes.
   const reportedAt: number[] = [];
@@ -152,7 +157,7 @@
     reportedAt.push(now);
   }
   const [before = 0, last = 0] = reportedAt.slice(-2);
-  assert.equal(last - before, ALIVE_MS);
+  assert.equal(last - before, MAX_REPORT_INTERVAL_MS);
 });
 
 // Guards against tokens of a drained machine that are charged as in doubt or stay unused.
--- a/test/prepaid/prepaidPage.test.ts
+++ b/test/prepaid/prepaidPage.test.ts
@@ -8,9 +8,9 @@
   hasReport,
   heldPrepaid,
   isFenced,
-  lackingPrepaid,
+  prepaidShortfalls,
   remainingPrepaid,
-  undealtPrepaid,
+  unallocatedPrepaid,
 } from '@flamingocourse/core';
 
 function report(
@@ -77,7 +77,7 @@
           held: heldPrepaid(account),
           spent: account.spent,
           inDoubt: account.inDoubt,
-          undealt: undealtPrepaid(account),
+          undealt: unallocatedPrepaid(account),
           remaining: remainingPrepaid(account),
         },
         expected,
@@ -104,11 +104,11 @@
 
 // Guards against refused requests although most of the budget is left: the group asked for less
 // than its shortfall.
-test('lackingPrepaid returns the requested tokens that the page cannot allocate', () => {
+test('prepaidShortfalls returns the requested tokens that the page cannot allocate', () => {
   const page = pageOf(report('a', 1, { wants: 900 }));
-  const shortfalls = lackingPrepaid(page, report('b', 1, { wants: 500 }));
+  const shortfalls = prepaidShortfalls(page, report('b', 1, { wants: 500 }));
   assert.deepEqual([...shortfalls], [['shop', 400]]);
-  assert.equal(lackingPrepaid(page, report('b', 1, { wants: 100 })).size, 0);
+  assert.equal(prepaidShortfalls(page, report('b', 1, { wants: 100 })).size, 0);
 });
 
 // Guards against writers that remain after each planned replacement: the page grows without bound,
--- a/test/prepaid/prepaidSizing.test.ts
+++ b/test/prepaid/prepaidSizing.test.ts
@@ -14,13 +14,13 @@
 const sizing = new PrepaidSizing({
   rideThroughSeconds: 10,
   deviationFactor: 1.3,
-  evenPart: 0.05,
+  evenFraction: 0.05,
   unallocatedRequests: 2,
 });
 
 // Guards against callers refused with 503 during an outage although most of the budget is left: all
 // their calls arrive at one instance, and the tokens were allocated evenly to all seven.
-describe('PrepaidSizing.level', () => {
+describe('PrepaidSizing.target', () => {
   const cases = [
     {
       name: 'covers the ride-through time of an evenly used account',
@@ -57,7 +57,7 @@
   ];
   for (const { name, change, from, to } of cases) {
     test(name, () => {
-      const level = sizing.level({ ...usual, ...change });
+      const level = sizing.target({ ...usual, ...change });
       assert.ok(level >= from && level <= to, `level ${String(level)}`);
     });
   }
@@ -67,7 +67,7 @@
 // allocated its mean demand, and had two large requests.
 test('a small account gets a larger multiple of its mean demand than a large one', () => {
   const ofMean = (rate: number): number => {
-    const level = sizing.level({ ...usual, remaining: 1e9, rate, fleetRate: rate * 7 });
+    const level = sizing.target({ ...usual, remaining: 1e9, rate, fleetRate: rate * 7 });
     return level / (rate * 10);
   };
   assert.ok(ofMean(1_000) > 2, `small: ${String(ofMean(1_000))}`);
@@ -78,7 +78,7 @@
 // time half of the remaining budget was in doubt.
 test('two losses of all instances leave more than 35 % of the budget', () => {
   const heldByAll = (remaining: number): number =>
-    7 * sizing.level({ ...usual, fleetRate: 200_000, rate: 200_000 / 7, remaining });
+    7 * sizing.target({ ...usual, fleetRate: 200_000, rate: 200_000 / 7, remaining });
   const first = heldByAll(1_000_000);
   const second = heldByAll(1_000_000 - first);
   assert.ok(1_000_000 - first - second > 350_000, `lost ${String(first)} and ${String(second)}`);
@@ -92,7 +92,7 @@
   for (const seconds of [20, 30, 60]) {
     test(`with ${String(seconds)} s of demand left`, () => {
       const remaining = seconds * fleetRate;
-      const levels = rates.map((rate) => sizing.level({ ...usual, remaining, rate, fleetRate }));
+      const levels = rates.map((rate) => sizing.target({ ...usual, remaining, rate, fleetRate }));
       const held = levels.reduce((sum, level) => sum + level, 0);
       assert.ok(remaining - held >= 10 * fleetRate, `held ${String(held)} of ${String(remaining)}`);
     });
@@ -100,16 +100,16 @@
 });
 
 test('an account with many remaining tokens allocates all that its instances can use', () => {
-  const level = sizing.level({ ...usual, remaining: 5_000_000 });
+  const level = sizing.target({ ...usual, remaining: 5_000_000 });
   assert.ok(level >= 10 * usual.rate, `level ${String(level)}`);
 });
 
 // Guards against too few tokens after a loss of all instances: tokens that borrowers had spent and
 // not yet reported were allocated a second time.
-test('keptSeconds can keep more unallocated than rideThroughSeconds', () => {
-  const keptSeconds = 15;
-  const keeping = new PrepaidSizing({ rideThroughSeconds: 10, keptSeconds });
+test('unallocatedSeconds can keep more unallocated than rideThroughSeconds', () => {
+  const unallocatedSeconds = 15;
+  const keeping = new PrepaidSizing({ rideThroughSeconds: 10, unallocatedSeconds });
   const situation = { ...usual, remaining: 300_000 };
-  const left = situation.remaining - situation.instances * keeping.level(situation);
-  assert.ok(left >= keptSeconds * situation.fleetRate, `${String(left)} left`);
+  const left = situation.remaining - situation.instances * keeping.target(situation);
+  assert.ok(left >= unallocatedSeconds * situation.fleetRate, `${String(left)} left`);
 });
--- a/test/prepaid/prepaidWorld.test.ts
+++ b/test/prepaid/prepaidWorld.test.ts
@@ -17,7 +17,7 @@
   grantPrepaid,
   hasReport,
   joinGroup,
-  lackingPrepaid,
+  prepaidShortfalls,
   prepaidOutlook,
   returnSurplus,
   takeGrants,
@@ -219,7 +219,7 @@
     const page = this.#pageOf(at);
     const budgets = this.#seen[at]?.value;
     if (!holder || !page || !budgets) return;
-    if (holder.isForgotten(page.value)) holder.renew();
+    if (holder.isForgotten(page.value)) holder.startNewIncarnation();
     const outlook = prepaidOutlook(budgets, this.limits);
     const report = holder.beginReport(page.value, outlook, this.#now, last);
     if (!report) return;
@@ -231,7 +231,7 @@
     const page = this.#pageOf(at);
     const seen = this.#seen[at];
     if (!page || !seen) return;
-    for (const shortfall of lackingPrepaid(page.value, report).values())
+    for (const shortfall of prepaidShortfalls(page.value, report).values())
       this.#grant(at, shortfall, result);
     const budgets = this.#seen[at]?.value ?? seen.value;
     const applied = applyReport(takeGrants(page.value, budgets, groupOf(at)), report);
@@ -258,7 +258,7 @@
       instance,
       process: `${instance}-${String(this.#processes)}`,
       sizing: new PrepaidSizing(),
-      aliveMs: 5_000,
+      maxReportIntervalMs: 5_000,
     });
   }
 }
