--- a/packages/core/src/runtime/news/chooseListeners.ts
+++ b/packages/core/src/runtime/gossip/chooseGossipPeers.ts
@@ -10,9 +10,9 @@
  *
  * @param random numbers from 0 (included) to 1 (excluded).
  * @example
- * for (const peer of chooseListeners(others, 'hall-a', 4, Math.random)) exchange(peer);
+ * for (const peer of chooseGossipPeers(others, 'hall-a', 4, Math.random)) exchange(peer);
  */
-export function chooseListeners(
+export function chooseGossipPeers(
   others: readonly FleetInstance[],
   dataCentre: DataCentreId,
   count: number,
--- a/packages/core/src/runtime/news/newsLog.ts
+++ b/packages/core/src/runtime/gossip/gossipLog.ts
@@ -1,16 +1,16 @@
 /** Gossip log of one instance: the facts that it knows and can send to peers that miss them. */
 
 import type { EpochMs, IncarnationId } from '../../types/ids.js';
-import type { DatedNews, FleetNews, GossipItem, NewsVersions } from '../../types/news.js';
+import type { DatedFact, GossipFact, GossipItem, VersionVector } from '../../types/gossip.js';
 
 /** Maximum number of facts kept; above it the oldest are removed. */
 const MAX_KEPT = 512;
 /** Maximum number of facts in one message; the others follow in later messages. */
-export const MAX_NEWS_PER_MESSAGE = 128;
+export const MAX_FACTS_PER_MESSAGE = 128;
 /** Maximum number of origins; above it, origins without kept facts are removed. */
 const MAX_ORIGINS = 512;
 
-interface KeptFact extends DatedNews {
+interface KeptFact extends DatedFact {
   seq: number;
 }
 
@@ -26,9 +26,9 @@
  *
  * @example
  * log.add({ type: 'finished', fingerprint }, now);
- * const items = log.lackedBy(peer.known, now);
+ * const items = log.missingFrom(peer.known, now);
  */
-export class NewsLog {
+export class GossipLog {
   readonly #self: IncarnationId;
   readonly #origins = new Map<IncarnationId, Origin>();
   #newestAt = -Infinity;
@@ -47,19 +47,19 @@
     return this.#newestAt;
   }
 
-  get known(): NewsVersions {
+  get known(): VersionVector {
     const entries = [...this.#origins].map(([origin, { last }]) => [origin, last] as const);
     return Object.fromEntries(entries);
   }
 
   /** Adds a fact that this instance observed itself. */
-  add(news: FleetNews, now: EpochMs): void {
+  add(news: GossipFact, now: EpochMs): void {
     const { last } = this.#originOf(this.#self);
     this.#keep(this.#self, { seq: last + 1, at: now, news }, now);
   }
 
   /** Adds facts from another instance; returns those that were new, in the order received. */
-  take(items: readonly GossipItem[], now: EpochMs): DatedNews[] {
+  receive(items: readonly GossipItem[], now: EpochMs): DatedFact[] {
     return items.flatMap(({ origin, seq, ageMs, news }) => {
       if (seq <= this.#originOf(origin).last) return [];
       const at = now - ageMs;
@@ -69,14 +69,14 @@
   }
 
   /** Facts that an instance with the given version vector misses, oldest first for each origin. */
-  lackedBy(known: NewsVersions, now: EpochMs): GossipItem[] {
+  missingFrom(known: VersionVector, now: EpochMs): GossipItem[] {
     const lacked = [...this.#origins].flatMap(([origin, { kept }]) => {
       const after = known[origin] ?? 0;
       return kept
         .filter(({ seq }) => seq > after)
         .map(({ seq, at, news }) => ({ origin, seq, ageMs: Math.max(0, now - at), news }));
     });
-    return lacked.slice(0, MAX_NEWS_PER_MESSAGE);
+    return lacked.slice(0, MAX_FACTS_PER_MESSAGE);
   }
 
   #originOf(name: IncarnationId): Origin {
--- /dev/null
+++ b/packages/core/src/runtime/gossip/index.ts
@@ -0,0 +1,2 @@
+export * from './chooseGossipPeers.js';
+export * from './gossipLog.js';
--- a/packages/core/src/runtime/news/index.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-export * from './chooseListeners.js';
-export * from './newsLog.js';
--- a/packages/core/src/runtime/quarantine/crashEvidence.ts
+++ b/packages/core/src/runtime/quarantine/crashEvidence.ts
@@ -7,7 +7,7 @@
 import type {
   CrashRecord,
   Fingerprint,
-  ProvenCause,
+  ProvenCrashCause,
   QuarantineEntry,
   QuarantineState,
 } from '../../types/quarantine.js';
@@ -80,11 +80,11 @@
 }
 
 /** Filters the requests that certainly are causes, with the crashed servers that prove it. */
-export function provenCauses(
+export function provenCrashCauses(
   state: QuarantineState,
   fingerprints: readonly Fingerprint[],
   now: EpochMs,
-): ProvenCause[] {
+): ProvenCrashCause[] {
   return fingerprints.flatMap((fingerprint) => {
     const entry = state.entries[fingerprint];
     if (!entry || proofOf(state, fingerprint, entry, now) !== 'sure') return [];
--- a/packages/core/src/runtime/quarantine/index.ts
+++ b/packages/core/src/runtime/quarantine/index.ts
@@ -1,2 +1,2 @@
-export { provenCauses, refusedForMs } from './crashEvidence.js';
+export { provenCrashCauses as provenCauses, refusedForMs } from './crashEvidence.js';
 export * from './quarantine.js';
--- a/packages/core/src/runtime/routing/keptServers.ts
+++ b/packages/core/src/runtime/routing/keptServers.ts
@@ -8,7 +8,7 @@
 import type { EpochMs, ServerId } from '../../types/ids.js';
 
 /** Result of probing a server. */
-export type ServerWord =
+export type ProbeResult =
   | 'staying'
   | 'leaving'
   /** Nothing listens at its address, or another server does. */
@@ -26,13 +26,13 @@
   until: EpochMs;
   /** When it is probed next; infinite during a probe. */
   probeAt: EpochMs;
-  lastWord: ServerWord;
+  lastWord: ProbeResult;
 }
 
 /** Summary of the time for which a server was kept, for the log. */
 export interface KeptSummary {
   keptMs: number;
-  lastWord: ServerWord;
+  lastWord: ProbeResult;
 }
 
 /**
@@ -40,8 +40,8 @@
  *
  * @example
  * kept.keep('p1', now + 2_200, now);
- * for (const id of kept.takeToAsk(now)) {
- *   probe(id).then((result) => kept.hear(id, result, Date.now()));
+ * for (const id of kept.takeDueProbes(now)) {
+ *   probe(id).then((result) => kept.recordProbe(id, result, Date.now()));
  * }
  */
 export class KeptServers {
@@ -77,14 +77,14 @@
   }
 
   /** Takes the servers to probe now; none of them is returned again before its probe has ended. */
-  takeToAsk(now: EpochMs): ServerId[] {
+  takeDueProbes(now: EpochMs): ServerId[] {
     const due = [...this.#servers].filter(([, { probeAt }]) => probeAt <= now);
     for (const [, server] of due) server.probeAt = Infinity;
     return due.map(([id]) => id);
   }
 
   /** Records the result of a probe. Returns whether the server remains kept. */
-  hear(id: ServerId, result: ServerWord, now: EpochMs): boolean {
+  recordProbe(id: ServerId, result: ProbeResult, now: EpochMs): boolean {
     const known = this.#servers.get(id);
     if (!known) return false;
     known.lastWord = result;
@@ -93,7 +93,7 @@
   }
 
   /** Servers that were kept for the maximum time. */
-  over(now: EpochMs): ServerId[] {
+  expired(now: EpochMs): ServerId[] {
     return [...this.#servers].filter(([, { until }]) => until <= now).map(([id]) => id);
   }
 }
--- a/packages/core/src/runtime/routing/promptHolders.ts
+++ b/packages/core/src/runtime/routing/promptLocations.ts
@@ -15,10 +15,10 @@
  * Maps each prompt part to the server that processed it last.
  *
  * @example
- * holders.read('91bd3f06', 'i-7f3a91c2');
+ * holders.record('91bd3f06', 'i-7f3a91c2');
  * holders.find('91bd3f06'); // 'i-7f3a91c2'
  */
-export class PromptHolders {
+export class PromptLocations {
   readonly #servers = new LRUCache<string, ServerId>({ max: MAX_PARTS });
 
   /** The server that processed a part last, as far as this instance knows. */
@@ -27,7 +27,7 @@
   }
 
   /** Records that a server has processed a part. */
-  read(part: string, server: ServerId): void {
+  record(part: string, server: ServerId): void {
     this.#servers.set(part, server);
   }
 }
--- a/packages/core/src/runtime/routing/serverChooser.ts
+++ b/packages/core/src/runtime/routing/serverChooser.ts
@@ -132,7 +132,7 @@
   const candidates = pool.candidates(query, now);
   // if a due send waited for a request that hashing or load would bring to this server, it would
   // expire unused. Long prompts are excluded: they cost the most where their prefix is not cached.
-  const due = candidates.find((candidate) => candidate.owed);
+  const due = candidates.find((candidate) => candidate.isDue);
   if (due && !isLongPrompt(request)) return due;
   const local = candidates.filter((candidate) => candidate.local);
   const nearFirst = query.scope !== 'everywhere' && local.length > 0;
--- a/packages/core/src/runtime/routing/serverNotices.ts
+++ b/packages/core/src/runtime/routing/serverNotices.ts
@@ -2,18 +2,18 @@
 
 import type { EpochMs, ServerId } from '../../types/ids.js';
 import type { RandomSource } from '../../types/placement.js';
-import type { RateLimitView, ToldRateLimit } from './serverRateLimits.js';
+import type { RateLimitView, ReportedRateLimit } from './serverRateLimits.js';
 import type { ServerRateLimits } from './serverRateLimits.js';
 
 /** One incarnation of a server; what it reports applies to this incarnation only. */
-export interface ServerStart {
+export interface ServerIncarnation {
   id: ServerId;
   /** Start time by the server's own clock; undefined if its entry does not contain it. */
   bornAt?: number | undefined;
 }
 
 /** Pause that a server requests in an answer, during which it accepts no requests. */
-export type ToldRest =
+export type RequestedPause =
   | { type: 'none' }
   | { type: 'rest'; ms: number }
   /** The value is not a single number of seconds. */
@@ -22,8 +22,8 @@
 /** Status of a server, as reported in one answer. */
 export interface ServerNotice {
   leaving: boolean;
-  rest: ToldRest;
-  rateLimit: ToldRateLimit;
+  rest: RequestedPause;
+  rateLimit: ReportedRateLimit;
 }
 
 /** Change of the known status caused by an answer, for the log. `rests` means a requested pause. */
@@ -68,7 +68,7 @@
  *
  * @example
  * const notices = new ServerNotices(new ServerRateLimits(random), random);
- * const changes = notices.tell({ id: 'p1', bornAt }, dialect.notice(answer), now);
+ * const changes = notices.record({ id: 'p1', bornAt }, dialect.notice(answer), now);
  * if (notices.nextAt({ id: 'p1', bornAt }, now) <= now) send();
  */
 export class ServerNotices {
@@ -83,9 +83,9 @@
 
   /**
    * Records what an answer reports about leaving and pauses. Rate limits are recorded separately,
-   * by {@link ServerRateLimits.tell}.
+   * by {@link ServerRateLimits.record}.
    */
-  tell(start: ServerStart, { leaving, rest }: ServerNotice, now: EpochMs): NoticeChange[] {
+  record(start: ServerIncarnation, { leaving, rest }: ServerNotice, now: EpochMs): NoticeChange[] {
     const server = this.#getOrCreate(start);
     const changes: NoticeChange[] = [];
     if (leaving && server.leavingSince === undefined) {
@@ -104,24 +104,24 @@
   }
 
   /** Whether a server reported that it is leaving. */
-  isLeaving(start: ServerStart): boolean {
+  isLeaving(start: ServerIncarnation): boolean {
     return this.#find(start)?.leavingSince !== undefined;
   }
 
   /** Remaining milliseconds of a server's pause; 0 if there is none. */
-  restMs(start: ServerStart, now: EpochMs): number {
+  restMs(start: ServerIncarnation, now: EpochMs): number {
     const rest = this.#find(start)?.rest;
     return rest ? Math.max(0, rest.until - now, rest.testedUntil - now) : 0;
   }
 
   /** When this instance may send the next request to a server; never to one that is leaving. */
-  nextAt(start: ServerStart, now: EpochMs): EpochMs {
+  nextAt(start: ServerIncarnation, now: EpochMs): EpochMs {
     if (this.isLeaving(start)) return Infinity;
     return Math.max(now + this.restMs(start, now), this.rateLimits.nextAt(start.id, now));
   }
 
   /** Records anything sent to a server: requests, retries and status probes. */
-  sent(start: ServerStart, now: EpochMs): void {
+  recordSent(start: ServerIncarnation, now: EpochMs): void {
     this.rateLimits.take(start.id, now);
     const server = this.#find(start);
     if (!server?.rest) return;
@@ -132,7 +132,7 @@
   }
 
   /** Status of a server; undefined if it has reported nothing. */
-  view(start: ServerStart, now: EpochMs): NoticeView | undefined {
+  view(start: ServerIncarnation, now: EpochMs): NoticeView | undefined {
     const server = this.#find(start);
     const limit = this.rateLimits.view(start.id, now);
     const { leavingSince, rest } = server ?? {};
@@ -173,12 +173,12 @@
     return before <= now;
   }
 
-  #find({ id, bornAt }: ServerStart): KnownServer | undefined {
+  #find({ id, bornAt }: ServerIncarnation): KnownServer | undefined {
     const known = this.#servers.get(id);
     return known && isSameStart(known.bornAt, bornAt) ? known : undefined;
   }
 
-  #getOrCreate(start: ServerStart): KnownServer {
+  #getOrCreate(start: ServerIncarnation): KnownServer {
     const found = this.#find(start);
     if (found) return found;
     const created = { bornAt: start.bornAt, leavingSince: undefined, rest: undefined };
--- a/packages/core/src/runtime/routing/serverPool.ts
+++ b/packages/core/src/runtime/routing/serverPool.ts
@@ -153,7 +153,7 @@
    *
    * @param except servers to leave out.
    */
-  likelyHolder(
+  likelyPromptServer(
     prefixHash: number,
     except: ReadonlySet<ServerId>,
     now: EpochMs,
@@ -230,14 +230,14 @@
   sendPace(now: EpochMs): RateLimitPace | undefined {
     const open = this.#openEntries(now);
     if (open.length > 0) return this.#rateLimits.pace(open.map(({ server }) => server.id), now); // prettier-ignore
-    const restMs = this.restEndsInMs(now);
+    const restMs = this.pauseEndsInMs(now);
     return restMs === undefined ? undefined : { firstMs: restMs, intervalMs: 0 };
   }
 
   /**
    * Milliseconds until the first requested pause ends; undefined if no server has requested one.
    */
-  restEndsInMs(now: EpochMs): number | undefined {
+  pauseEndsInMs(now: EpochMs): number | undefined {
     const rests = this.#stayingEntries(now).map(({ server }) => this.#notices.restMs(server, now));
     const resting = rests.filter((restMs) => restMs > 0);
     return resting.length === 0 ? undefined : Math.min(...resting);
@@ -262,7 +262,7 @@
     entry.load.start(attempt, now);
     entry.recordSent(now);
     entry.lastAttempt = attempt;
-    this.#notices.sent(entry.server, now);
+    this.#notices.recordSent(entry.server, now);
     this.#attempts.set(attempt, entry);
     if (exclusive) {
       entry.exclusive = true;
@@ -272,12 +272,12 @@
   }
 
   /** Records that part of an answer arrived, so the server is reachable. */
-  heard(attempt: number, now: EpochMs): void {
+  recordReceived(attempt: number, now: EpochMs): void {
     this.#attempts.get(attempt)?.recordReceived(now);
   }
 
   /** Records that the connection for an attempt did not open. */
-  unreachable(attempt: number, now: EpochMs): void {
+  recordUnreachable(attempt: number, now: EpochMs): void {
     this.#attempts.get(attempt)?.recordSilence(now);
   }
 
@@ -403,7 +403,7 @@
       load,
       capacity,
       eventMs: entry.pace.eventMs,
-      owed: this.#rateLimits.has(entry.server.id) && this.#isBelowFairShare(entry),
+      isDue: this.#rateLimits.has(entry.server.id) && this.#isBelowFairShare(entry),
       hasRoom: load < capacity * (1 + extra) || entry.load.own < fairPart,
     };
   }
--- a/packages/core/src/runtime/routing/serverRateLimits.ts
+++ b/packages/core/src/runtime/routing/serverRateLimits.ts
@@ -3,10 +3,10 @@
 import type { EpochMs, ServerId } from '../../types/ids.js';
 import type { RandomSource } from '../../types/placement.js';
 import { sum } from '../../utils/sum.js';
-import { SendPacer } from './sendShare.js';
+import { SendPacer } from './sendPacer.js';
 
 /** Rate limit of a server, as reported in one answer. */
-export type ToldRateLimit =
+export type ReportedRateLimit =
   | { type: 'none' }
   /** Requests per second that the server accepts from all instances together. */
   | { type: 'limit'; perSecond: number }
@@ -74,7 +74,7 @@
  * @example
  * const limits = new ServerRateLimits(Math.random);
  * limits.setSharers(8, now);
- * const change = limits.tell('p1', { type: 'limit', perSecond: 1.5 }, now);
+ * const change = limits.record('p1', { type: 'limit', perSecond: 1.5 }, now);
  * if (change) log(change, limits.view('p1', now));
  * if (limits.nextAt('p1', now) <= now) limits.take('p1', now);
  */
@@ -114,7 +114,7 @@
   }
 
   /** Records what an answer of a server reports. */
-  tell(id: ServerId, reported: ToldRateLimit, now: EpochMs): RateLimitChange | undefined {
+  record(id: ServerId, reported: ReportedRateLimit, now: EpochMs): RateLimitChange | undefined {
     if (reported.type === 'invalid') {
       const isNew = !this.#invalid.has(id);
       this.#invalid.add(id);
--- a/packages/core/src/types/news.ts
+++ b/packages/core/src/types/gossip.ts
@@ -4,7 +4,7 @@
 import type { Fingerprint } from './quarantine.js';
 
 /** A fact that instances pass on to each other. */
-export type FleetNews =
+export type GossipFact =
   /** A server crashed while these requests of one instance were in flight. */
   | { type: 'crashed'; server: ServerId; inFlight: Fingerprint[] }
   /** A request that was in flight during an earlier crash has finished. */
@@ -16,24 +16,24 @@
   seq: number;
   /** Milliseconds since it happened; an age, because the clocks of instances differ. */
   ageMs: number;
-  news: FleetNews;
+  news: GossipFact;
 }
 
 /** Version vector: the last known sequence number of each origin. */
-export type NewsVersions = Record<IncarnationId, number>;
+export type VersionVector = Record<IncarnationId, number>;
 
 /** Message of one gossip exchange; used for both the request and the answer. */
-export interface NewsMessage {
+export interface GossipMessage {
   /** Name of the sender. */
   from: string;
   /** What the sender knows. */
-  known: NewsVersions;
+  known: VersionVector;
   /** Facts that the receiver may not know. */
   items: GossipItem[];
 }
 
 /** A fact with the time at which it happened, by the clock of this instance. */
-export interface DatedNews {
+export interface DatedFact {
   at: EpochMs;
-  news: FleetNews;
+  news: GossipFact;
 }
--- a/packages/core/src/types/placement.ts
+++ b/packages/core/src/types/placement.ts
@@ -24,7 +24,7 @@
    * Whether it has a rate limit, may receive a request now, and the other servers have received at
    * least their equal share of requests since its last one.
    */
-  owed: boolean;
+  isDue: boolean;
 }
 
 /** Result of one attempt, as a caller reports it to the pool. */
--- a/packages/core/src/types/quarantine.ts
+++ b/packages/core/src/types/quarantine.ts
@@ -34,7 +34,7 @@
 }
 
 /** A request that was shown to crash the servers that run it. */
-export interface ProvenCause {
+export interface ProvenCrashCause {
   fingerprint: Fingerprint;
   /** Incarnations of servers that crashed with it in flight. */
   servers: ServerId[];
--- a/packages/gateway/src/node/httpHealthCheck.ts
+++ b/packages/gateway/src/node/httpHealthCheck.ts
@@ -1,6 +1,6 @@
 /** HTTP health check at the path that the configuration names. */
 
-import type { ListedServer, ServerId, ServerWord } from '@flamingocourse/core';
+import type { ListedServer, ServerId, ProbeResult } from '@flamingocourse/core';
 import type { GatewayContext } from '../types/context.js';
 import type { ConfigurationWatch } from './configurationWatch.js';
 import type { ServerAgent } from './serverAgent.js';
@@ -30,7 +30,7 @@
     this.#agent = agent;
   }
 
-  override async ask(id: ServerId, { service, url, bornAt }: ListedServer): Promise<ServerWord> {
+  override async ask(id: ServerId, { service, url, bornAt }: ListedServer): Promise<ProbeResult> {
     const start = { id, bornAt };
     const target = this.#configuration.table?.service(service)?.healthPath;
     if (target === undefined) return 'unknown';
@@ -39,7 +39,7 @@
     if (notices.isLeaving(start)) return 'leaving';
     // a health check counts towards the rate limit of the server, as a request does.
     if (notices.nextAt(start, now) > now) return 'unknown';
-    notices.sent(start, now);
+    notices.recordSent(start, now);
     const opened = await openAttempt({
       url,
       method: 'GET',
--- a/packages/gateway/src/node/keptCauses.ts
+++ b/packages/gateway/src/node/keptCauses.ts
@@ -4,7 +4,7 @@
  * but not their peers.
  */
 
-import type { Fingerprint, ProvenCause } from '@flamingocourse/core';
+import type { Fingerprint, ProvenCrashCause } from '@flamingocourse/core';
 import type { Collection, PlatformErrorCode, VersionedObject } from '@flamingocourse/store';
 import type { GatewayContext } from '../types/context.js';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -13,7 +13,7 @@
 import { StoreContact } from './storeContact.js';
 
 /** One object per cause, named by its fingerprint. */
-const causeCollection: Collection<ProvenCause> = {
+const causeCollection: Collection<ProvenCrashCause> = {
   name: 'fleet-causes',
   schema: provenCauseSchema,
 };
@@ -38,7 +38,7 @@
   override readonly name = 'causes';
   readonly #context: GatewayContext;
   readonly #reachability: StoreContact;
-  readonly #listeners: ((cause: ProvenCause) => void)[] = [];
+  readonly #listeners: ((cause: ProvenCrashCause) => void)[] = [];
   /** Known versions of the stored objects. */
   readonly #versions = new Map<Fingerprint, string>();
   readonly #creating = new Set<Fingerprint>();
@@ -52,7 +52,7 @@
   }
 
   /** Calls the listener with each cause that is read from the store. */
-  onCause(listener: (cause: ProvenCause) => void): void {
+  onCause(listener: (cause: ProvenCrashCause) => void): void {
     this.#listeners.push(listener);
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Stores a cause; retries while the store is unreachable or throttles. */
-  save(cause: ProvenCause): void {
+  save(cause: ProvenCrashCause): void {
     const { fingerprint } = cause;
     if (this.#versions.has(fingerprint) || this.#creating.has(fingerprint)) return;
     this.#creating.add(fingerprint);
@@ -106,7 +106,7 @@
     return 'read';
   }
 
-  async #create(cause: ProvenCause): Promise<void> {
+  async #create(cause: ProvenCrashCause): Promise<void> {
     const { store } = this.#context;
     while (!this.#stopped) {
       const created = await store.create(causeCollection, nameOf(cause.fingerprint), cause);
@@ -125,7 +125,7 @@
    * Any instance may do this, and several may at once: a removal names the version that was read, so it
    * cannot remove a newer object.
    */
-  async #removeOldest(items: readonly VersionedObject<ProvenCause>[]): Promise<void> {
+  async #removeOldest(items: readonly VersionedObject<ProvenCrashCause>[]): Promise<void> {
     const byAge = items.toSorted((a, b) => Number(a.version) - Number(b.version));
     for (const { name, version } of byAge.slice(0, Math.max(0, items.length - MAX_STORED_CAUSES))) {
       await this.#removeObject(name, version);
--- a/packages/gateway/src/node/learnNotice.ts
+++ b/packages/gateway/src/node/learnNotice.ts
@@ -1,6 +1,6 @@
 /** Records what a response says about its server: leaving, requested pause, rate limit. */
 
-import type { ServerStart, ToldRateLimit } from '@flamingocourse/core';
+import type { ServerIncarnation, ReportedRateLimit } from '@flamingocourse/core';
 import type { ServerHead } from '../types/call.js';
 import type { GatewayContext } from '../types/context.js';
 
@@ -11,12 +11,16 @@
  * @example
  * learnNotice(context, { id: 'p1', bornAt }, answer.head);
  */
-export function learnNotice(context: GatewayContext, server: ServerStart, head: ServerHead): void {
+export function learnNotice(
+  context: GatewayContext,
+  server: ServerIncarnation,
+  head: ServerHead,
+): void {
   const { clock, dialects, log, notices } = context;
   const now = clock.now();
   const notice = dialects.servers.notice(head);
   recordRateLimit(context, server, notice.rateLimit, now);
-  for (const change of notices.tell(server, notice, now)) {
+  for (const change of notices.record(server, notice, now)) {
     const said = notice.rest.type === 'invalid' ? notice.rest.text : undefined;
     log.write('server-notice', { server: server.id, change, said, ...notices.view(server, now) });
   }
@@ -24,12 +28,12 @@
 
 function recordRateLimit(
   { log, notices: { rateLimits } }: GatewayContext,
-  { id: server }: ServerStart,
-  reported: ToldRateLimit,
+  { id: server }: ServerIncarnation,
+  reported: ReportedRateLimit,
   now: number,
 ): void {
   const before = rateLimits.view(server, now);
-  const change = rateLimits.tell(server, reported, now);
+  const change = rateLimits.record(server, reported, now);
   if (change === undefined) return;
   if (reported.type === 'invalid') {
     log.write('server-rate-limit-invalid', { server, text: reported.text, ...before });
--- a/packages/gateway/src/node/meshNewsCalls.ts
+++ b/packages/gateway/src/node/meshNewsCalls.ts
@@ -1,6 +1,6 @@
 /** Exchanges gossip messages over the mesh. */
 
-import type { FleetInstance, NewsMessage } from '@flamingocourse/core';
+import type { FleetInstance, GossipMessage } from '@flamingocourse/core';
 import type { MeshClient } from '@flamingocourse/mesh';
 import { Result } from 'true-myth';
 import { NewsCalls } from '../types/newsCalls.js';
@@ -19,8 +19,8 @@
 
   override async exchange(
     { meshUrl }: FleetInstance,
-    message: NewsMessage,
-  ): Promise<Result<NewsMessage, string>> {
+    message: GossipMessage,
+  ): Promise<Result<GossipMessage, string>> {
     if (meshUrl === undefined) return Result.err('it serves no peers');
     const options = { timeoutMs: CALL_TIMEOUT_MS };
     const answer = await this.#mesh.call({ meshUrl }, 'exchangeNews', message, options);
--- a/packages/gateway/src/node/newsService.ts
+++ b/packages/gateway/src/node/newsService.ts
@@ -6,16 +6,16 @@
  */
 
 import type {
-  DatedNews,
+  DatedFact,
   FleetInstance,
-  FleetNews,
-  NewsMessage,
-  NewsVersions,
+  GossipFact,
+  GossipMessage,
+  VersionVector,
 } from '@flamingocourse/core';
 import type { Kernel } from '@flamingocourse/kernel';
 import type { GatewayContext } from '../types/context.js';
 import type { NewsCalls } from '../types/newsCalls.js';
-import { NewsLog, chooseListeners } from '@flamingocourse/core';
+import { GossipLog, chooseGossipPeers } from '@flamingocourse/core';
 import { Service } from '@flamingocourse/kernel';
 import { Contact } from './contact.js';
 import { InstanceDirectory } from './instanceDirectory.js';
@@ -41,7 +41,7 @@
 interface Peer {
   reachability: Contact;
   /** Versions that the peer had when it last sent a message. */
-  known: NewsVersions;
+  known: VersionVector;
 }
 
 /**
@@ -56,9 +56,9 @@
   override readonly dependsOn = ['instances'];
   readonly #context: GatewayContext;
   readonly #calls: NewsCalls;
-  readonly #log: NewsLog;
+  readonly #log: GossipLog;
   readonly #peers = new Map<string, Peer>();
-  readonly #listeners: ((fact: DatedNews) => void)[] = [];
+  readonly #listeners: ((fact: DatedFact) => void)[] = [];
   #instances: InstanceDirectory | undefined;
   #gossipTimer: NodeJS.Timeout | undefined;
   #syncTimer: NodeJS.Timeout | undefined;
@@ -70,7 +70,7 @@
     super();
     this.#context = context;
     this.#calls = calls;
-    this.#log = new NewsLog(incarnation);
+    this.#log = new GossipLog(incarnation);
   }
 
   /** Whether the last message to at least one peer got no answer. */
@@ -79,7 +79,7 @@
   }
 
   /** Calls the listener with each new fact from another instance. */
-  onNews(listener: (fact: DatedNews) => void): void {
+  onNews(listener: (fact: DatedFact) => void): void {
     this.#listeners.push(listener);
   }
 
@@ -88,13 +88,13 @@
    *
    * @param urgency `later` waits for the next message that is sent for another reason.
    */
-  publish(fact: FleetNews, urgency: 'now' | 'later' = 'now'): void {
+  publish(fact: GossipFact, urgency: 'now' | 'later' = 'now'): void {
     this.#log.add(fact, this.#now());
     if (urgency === 'now') this.#startGossip();
   }
 
   /** Processes a message of another instance and returns the answer. */
-  hear({ from, known, items }: NewsMessage): NewsMessage {
+  hear({ from, known, items }: GossipMessage): GossipMessage {
     this.#peerOf(from).known = known;
     this.#applyItems(items);
     return this.#messageFor(known);
@@ -146,7 +146,7 @@
   async #gossip(): Promise<void> {
     const now = this.#now();
     const outdated = this.#choose(this.#others, MAX_CANDIDATES).filter(({ name }) => {
-      return this.#log.lackedBy(this.#peerOf(name).known, now).length > 0;
+      return this.#log.missingFrom(this.#peerOf(name).known, now).length > 0;
     });
     const answering = outdated.filter(({ name }) => !this.#peerOf(name).reachability.isLost);
     if (outdated.length === 0 || this.#roundsLeft === 0) return;
@@ -158,7 +158,7 @@
 
   #choose(others: readonly FleetInstance[], count = FANOUT): FleetInstance[] {
     const { settings, random } = this.#context;
-    return chooseListeners(others, settings.dataCentre, count, random);
+    return chooseGossipPeers(others, settings.dataCentre, count, random);
   }
 
   #scheduleSync(ms: number): void {
@@ -193,14 +193,14 @@
     return 'heard';
   }
 
-  #messageFor(known: NewsVersions): NewsMessage {
+  #messageFor(known: VersionVector): GossipMessage {
     const { instance } = this.#context.settings;
-    const items = this.#log.lackedBy(known, this.#now());
+    const items = this.#log.missingFrom(known, this.#now());
     return { from: instance, known: this.#log.known, items };
   }
 
-  #applyItems(items: NewsMessage['items']): void {
-    const facts = this.#log.take(items, this.#now());
+  #applyItems(items: GossipMessage['items']): void {
+    const facts = this.#log.receive(items, this.#now());
     if (facts.length === 0) return;
     for (const fact of facts) for (const listener of this.#listeners) listener(fact);
     this.#startGossip();
--- a/packages/gateway/src/node/requestFlow.ts
+++ b/packages/gateway/src/node/requestFlow.ts
@@ -204,7 +204,7 @@
 
 /** Returns `retryAfterMs` of a refusal; while all servers pause, not before a pause ends. */
 function retryAfterMs({ lane: { pool } }: BackendLane, now: number): number {
-  const restMs = pool.hasOpenServer(undefined, now) ? undefined : pool.restEndsInMs(now);
+  const restMs = pool.hasOpenServer(undefined, now) ? undefined : pool.pauseEndsInMs(now);
   return Math.max(NO_SERVER_RETRY_MS, Math.ceil(restMs ?? 0));
 }
 
--- a/packages/gateway/src/node/serverDirectory.ts
+++ b/packages/gateway/src/node/serverDirectory.ts
@@ -190,9 +190,9 @@
   /** Checks the kept servers that are due, drops the expired ones and schedules the next run. */
   #checkKept(now: number): void {
     clearTimeout(this.#timer);
-    for (const id of this.#kept.takeToAsk(now)) void this.#probe(id);
+    for (const id of this.#kept.takeDueProbes(now)) void this.#probe(id);
     // while the store is unreachable again, a missing entry is no evidence that a server is gone.
-    const over = this.#contact.isLost ? [] : this.#kept.over(now);
+    const over = this.#contact.isLost ? [] : this.#kept.expired(now);
     for (const id of over) this.#drop(id, 'time is over');
     if (over.length > 0) this.#publish('lapsed');
     if (this.#kept.size === 0) return;
@@ -215,7 +215,7 @@
     const now = this.#context.clock.now();
     // the server may have rewritten its entry meanwhile, or restarted under the same id.
     if (!this.#kept.has(id) || this.#servers.get(id) !== server) return;
-    if (!this.#kept.hear(id, word, now)) {
+    if (!this.#kept.recordProbe(id, word, now)) {
       this.#drop(id, word === 'gone' ? 'it is gone' : 'it is leaving');
       this.#publish('asked');
     }
--- a/packages/gateway/src/node/sharedQuarantine.ts
+++ b/packages/gateway/src/node/sharedQuarantine.ts
@@ -5,8 +5,8 @@
 
 import type {
   Fingerprint,
-  FleetNews,
-  ProvenCause,
+  GossipFact,
+  ProvenCrashCause,
   QuarantineEvent,
   QuarantineState,
 } from '@flamingocourse/core';
@@ -100,11 +100,11 @@
   }
 }
 
-function toEvent(fact: FleetNews): QuarantineEvent {
+function toEvent(fact: GossipFact): QuarantineEvent {
   return fact.type === 'crashed' ? { ...fact, isShared: true } : fact;
 }
 
-function toCrashes({ fingerprint, servers }: ProvenCause): Crash[] {
+function toCrashes({ fingerprint, servers }: ProvenCrashCause): Crash[] {
   return servers.map((server) => {
     return { type: 'crashed', server, inFlight: [fingerprint], isShared: true };
   });
--- a/packages/gateway/src/types/dialects.ts
+++ b/packages/gateway/src/types/dialects.ts
@@ -1,6 +1,6 @@
 /** Interfaces between the pipeline and the wire formats of callers and backend servers. */
 
-import type { Refusal, ServerId, ServerNotice, ServerWord } from '@flamingocourse/core';
+import type { Refusal, ServerId, ServerNotice, ProbeResult } from '@flamingocourse/core';
 import type { IncomingMessage, OutgoingHttpHeaders } from 'node:http';
 import type { Result } from 'true-myth';
 import type { AttemptDetails, CallHead, HeadVerdict, ServerHead, ToldLoad } from './call.js';
@@ -35,7 +35,7 @@
   /** Returns the headers of a health check, as alternating names and values. */
   abstract healthHeaders(serverId: ServerId, host: string): string[];
   /** Classifies the response to a health check of server `serverId`. */
-  abstract judgeHealth(serverId: ServerId, answer: ServerHead): ServerWord;
+  abstract judgeHealth(serverId: ServerId, answer: ServerHead): ProbeResult;
   /**
    * Returns the headers for the caller, as alternating names and values, without hop-by-hop
    * headers.
--- a/packages/gateway/src/types/newsCalls.ts
+++ b/packages/gateway/src/types/newsCalls.ts
@@ -1,6 +1,6 @@
 /** Interface for exchanging news with other instances. */
 
-import type { FleetInstance, NewsMessage } from '@flamingocourse/core';
+import type { FleetInstance, GossipMessage } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
 
 /** Sends news to another instance and returns its answer. */
@@ -11,6 +11,6 @@
    */
   abstract exchange(
     peer: FleetInstance,
-    message: NewsMessage,
-  ): Promise<Result<NewsMessage, string>>;
+    message: GossipMessage,
+  ): Promise<Result<GossipMessage, string>>;
 }
--- a/packages/mesh/src/runtime/schemas.ts
+++ b/packages/mesh/src/runtime/schemas.ts
@@ -2,17 +2,17 @@
 
 import type {
   Bill,
-  FleetNews,
+  GossipFact,
   JournalChange,
   JournalLine,
   LoanRequest,
-  NewsMessage,
+  GossipMessage,
   Outcome,
 } from '@flamingocourse/core';
 import type { ZodType } from 'zod';
 import type { ProcedureInput, ProcedureName } from '../types/procedures.js';
 import type { PackedHeartbeat, PackedMember } from './heartbeatCodec.js';
-import { MAX_NEWS_PER_MESSAGE } from '@flamingocourse/core';
+import { MAX_FACTS_PER_MESSAGE } from '@flamingocourse/core';
 import { z } from 'zod';
 
 const maxIdLength = 300;
@@ -111,7 +111,7 @@
 
 const fingerprint = z.string().min(1).max(maxFingerprintLength);
 
-const newsSchema: ZodType<FleetNews> = z.discriminatedUnion('type', [
+const newsSchema: ZodType<GossipFact> = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('crashed'),
     server: id,
@@ -120,12 +120,12 @@
   z.object({ type: z.literal('finished'), fingerprint }),
 ]);
 
-const newsMessageSchema: ZodType<NewsMessage> = z.object({
+const newsMessageSchema: ZodType<GossipMessage> = z.object({
   from: id,
   known: z.record(id, count),
   items: z
     .array(z.object({ origin: id, seq: count, ageMs: z.number().min(0), news: newsSchema }))
-    .max(MAX_NEWS_PER_MESSAGE),
+    .max(MAX_FACTS_PER_MESSAGE),
 });
 
 /** Input schema of each procedure. */
--- a/packages/mesh/src/types/procedures.ts
+++ b/packages/mesh/src/types/procedures.ts
@@ -9,7 +9,7 @@
   JournalState,
   LoanAnswer,
   LoanRequest,
-  NewsMessage,
+  GossipMessage,
   Tokens,
 } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
@@ -46,7 +46,7 @@
   /** Asks a lender for tokens of prepaid budgets; the request itself names the lender's life. */
   borrow: { input: LoanRequest; output: LoanAnswer };
   /** Tells news of the fleet and asks for what the caller lacks; news name the process that they come from. */
-  exchangeNews: { input: NewsMessage; output: NewsMessage };
+  exchangeNews: { input: GossipMessage; output: GossipMessage };
   shareHints: { input: { hints: Hint[] }; output: 'taken' };
 }
 
--- a/packages/router/src/node/backends/quarantineRegister.ts
+++ b/packages/router/src/node/backends/quarantineRegister.ts
@@ -12,7 +12,7 @@
 import {
   createQuarantine,
   judgeFingerprint,
-  lifeOf,
+  serverIncarnationId,
   mergeQuarantines,
   reduceQuarantine,
   refusedForMs,
@@ -69,7 +69,7 @@
     });
     this.#tell(
       this.#isShared
-        ? { type: 'crashed', server: lifeOf(server), inFlight, isShared: true }
+        ? { type: 'crashed', server: serverIncarnationId(server), inFlight, isShared: true }
         : { type: 'crashed', server: server.id, inFlight },
     );
   }
--- a/packages/router/src/node/backends/serviceLane.ts
+++ b/packages/router/src/node/backends/serviceLane.ts
@@ -20,7 +20,7 @@
 import type { QuarantineRegister } from './quarantineRegister.js';
 import {
   chooseServer,
-  PromptHolders,
+  PromptLocations,
   createRetryBudget,
   earnRetry,
   hash32,
@@ -75,7 +75,7 @@
   readonly #parked = new Set<number>();
   readonly #inFlight = new InFlightRequests();
   readonly #learning = new LaneLearning();
-  readonly #holders = new PromptHolders();
+  readonly #holders = new PromptLocations();
   #retries: RetryBudget = createRetryBudget();
   #nextId = 1;
 
@@ -149,7 +149,7 @@
   /** Whether any server takes requests, now or after a rest. */
   #hasServer(now: EpochMs): boolean {
     const { pool } = this.#options;
-    return pool.hasOpenServer(undefined, now) || pool.restEndsInMs(now) !== undefined;
+    return pool.hasOpenServer(undefined, now) || pool.pauseEndsInMs(now) !== undefined;
   }
 
   /** Refuses everything that waits; for the end of the service or the router. */
@@ -275,10 +275,10 @@
       holder: prefixKey === undefined ? undefined : this.#holderOf(prefixKey, server, request, now),
       priority: enginePriority[request.importance],
       heard: () => {
-        pool.heard(attempt, this.#options.clock.now());
+        pool.recordReceived(attempt, this.#options.clock.now());
       },
       promptRead: () => {
-        if (prefixKey !== undefined) this.#holders.read(prefixKey, server.id);
+        if (prefixKey !== undefined) this.#holders.record(prefixKey, server.id);
       },
       end: (how, firstTokenMs) => {
         this.#recordEnd(attempt, request, how, firstTokenMs);
@@ -308,7 +308,7 @@
     if (known !== undefined && !tried.includes(known) && pool.canCopyFrom(known, now)) {
       return pool.server(known);
     }
-    return pool.likelyHolder(hash32(prefixKey), new Set([id, ...tried]), now);
+    return pool.likelyPromptServer(hash32(prefixKey), new Set([id, ...tried]), now);
   }
 
   #recordEnd(
@@ -324,7 +324,7 @@
       ...(targetMs === undefined ? {} : { targetMs }),
     };
     const { pool, clock } = this.#options;
-    if (how === 'unreachable') pool.unreachable(attempt, clock.now());
+    if (how === 'unreachable') pool.recordUnreachable(attempt, clock.now());
     pool.settle(attempt, result, clock.now());
   }
 
--- a/test/gateway/directoryWorld.ts
+++ b/test/gateway/directoryWorld.ts
@@ -1,7 +1,7 @@
 /** Server directory without network: the test emits the store's events and controls the clock. */
 
 import type { TestContext } from 'node:test';
-import type { ListedServer, ServerId, ServerWord } from '@flamingocourse/core';
+import type { ListedServer, ServerId, ProbeResult } from '@flamingocourse/core';
 import type { Collection, Subscription, WatchEvent, WatchOptions } from '@flamingocourse/store';
 import { setImmediate as turn } from 'node:timers/promises';
 import { HealthCheck } from '@flamingocourse/gateway';
@@ -34,7 +34,7 @@
     this.#clock = clock;
   }
 
-  override ask(id: ServerId): Promise<ServerWord> {
+  override ask(id: ServerId): Promise<ProbeResult> {
     const leaves = this.#clock.now() >= (this.leavesAt.get(id) ?? Infinity);
     return Promise.resolve(leaves ? 'leaving' : 'staying');
   }
--- a/test/gateway/fleet/newsFleet.ts
+++ b/test/gateway/fleet/newsFleet.ts
@@ -1,7 +1,7 @@
 /** The gossip services of a whole fleet, on a manual clock. */
 
 import type { TestContext } from 'node:test';
-import type { FleetInstance, FleetNews, NewsMessage } from '@flamingocourse/core';
+import type { FleetInstance, GossipFact, GossipMessage } from '@flamingocourse/core';
 import { syncBuiltinESMExports } from 'node:module';
 import { setImmediate as turn, setTimeout as delay } from 'node:timers/promises';
 import { Kernel, ManualClock, MemoryEventLog } from '@flamingocourse/kernel';
@@ -31,7 +31,7 @@
 /** One process of an instance. */
 interface Process {
   news: NewsService;
-  received: FleetNews[];
+  received: GossipFact[];
   kernel: Kernel;
 }
 
@@ -79,8 +79,8 @@
 
   override async exchange(
     to: FleetInstance,
-    message: NewsMessage,
-  ): Promise<Result<NewsMessage, string>> {
+    message: GossipMessage,
+  ): Promise<Result<GossipMessage, string>> {
     this.#fleet.messages += 1;
     this.#fleet.largest = Math.max(this.#fleet.largest, JSON.stringify(message).length);
     await delay(LATENCY_MS);
@@ -91,7 +91,7 @@
     return Result.ok(structuredClone(answer));
   }
 
-  async #giveUp(): Promise<Result<NewsMessage, string>> {
+  async #giveUp(): Promise<Result<GossipMessage, string>> {
     await delay(CALL_TIMEOUT_MS);
     return Result.err('no answer in time');
   }
@@ -145,7 +145,7 @@
     const context = { ...base, settings, random: () => this.#random.fraction() };
     const incarnation = `${name}/${String(this.clock.now())}`;
     const news = new NewsService(context, incarnation, new NewsLink(this, instance));
-    const heard: FleetNews[] = [];
+    const heard: GossipFact[] = [];
     news.onNews((item) => heard.push(item.news));
     const kernel = new Kernel()
       .register(new FixedInstances(this.#instances, context))
--- a/test/gateway/httpHealthCheck.test.ts
+++ b/test/gateway/httpHealthCheck.test.ts
@@ -29,7 +29,7 @@
     slots: 4,
   };
   context.notices.rateLimits.setSharers(1, clock.now());
-  context.notices.rateLimits.tell('p1', { type: 'limit', perSecond: 0.5 }, clock.now());
+  context.notices.rateLimits.record('p1', { type: 'limit', perSecond: 0.5 }, clock.now());
   server.rateLimit = '0.5';
   assert.equal(await check.ask('p1', listed), 'unknown', 'no health check is due yet');
   assert.equal(server.asked, 0);
--- a/test/gateway/keptCauses.test.ts
+++ b/test/gateway/keptCauses.test.ts
@@ -1,5 +1,5 @@
 import type { TestContext } from 'node:test';
-import type { NewsMessage, ProvenCause } from '@flamingocourse/core';
+import type { GossipMessage, ProvenCrashCause } from '@flamingocourse/core';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ManualClock, MemoryEventLog } from '@flamingocourse/kernel';
@@ -14,18 +14,18 @@
 
 /** Reaches no peer. */
 class NoCalls extends NewsCalls {
-  override exchange(): Promise<Result<NewsMessage, string>> {
+  override exchange(): Promise<Result<GossipMessage, string>> {
     return Promise.resolve(Result.err('connection refused'));
   }
 }
 
 const anything = { name: 'fleet-causes', schema: z.unknown() };
-const cause: ProvenCause = { fingerprint: 'a+b/c=', servers: ['s1', 's2@5', 's3'] };
+const cause: ProvenCrashCause = { fingerprint: 'a+b/c=', servers: ['s1', 's2@5', 's3'] };
 
 /** Starts a process on a store that may already contain causes. */
 async function start(t: TestContext, store: MemoryObjectStore): Promise<World> {
   const causes = new KeptCauses(contextOf(new ManualClock(), new MemoryEventLog(), store));
-  const found: ProvenCause[] = [];
+  const found: ProvenCrashCause[] = [];
   causes.onCause((each) => found.push(each));
   t.after(() => {
     causes.stop();
@@ -37,7 +37,7 @@
 
 interface World {
   causes: KeptCauses;
-  found: ProvenCause[];
+  found: ProvenCrashCause[];
 }
 
 async function settle(): Promise<void> {
--- a/test/platform/serverDialect.test.ts
+++ b/test/platform/serverDialect.test.ts
@@ -1,4 +1,4 @@
-import type { ServerWord, ToldRateLimit, ToldRest } from '@flamingocourse/core';
+import type { ProbeResult, ReportedRateLimit, RequestedPause } from '@flamingocourse/core';
 import type { CallHead } from '@flamingocourse/gateway';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -91,7 +91,7 @@
 });
 
 describe('the rate limit in an answer', () => {
-  const cases: readonly { header: string | string[] | undefined; expected: ToldRateLimit }[] = [
+  const cases: readonly { header: string | string[] | undefined; expected: ReportedRateLimit }[] = [
     { header: undefined, expected: { type: 'none' } },
     { header: '1.8', expected: { type: 'limit', perSecond: 1.8 } },
     { header: ' 12 ', expected: { type: 'limit', perSecond: 12 } },
@@ -125,18 +125,19 @@
 });
 
 describe('the pause that an answer asks for', () => {
-  const cases: readonly { name: string; status?: number; texts: string[]; rest: ToldRest }[] = [
-    { name: 'none', texts: [], rest: { type: 'none' } },
-    { name: 'whole seconds', texts: ['3'], rest: { type: 'rest', ms: 3_000 } },
-    { name: 'a fraction', texts: ['0.25'], rest: { type: 'rest', ms: 250 } },
-    { name: 'nothing', texts: ['0'], rest: { type: 'rest', ms: 0 } },
-    { name: 'the longer of two', texts: ['1', '4'], rest: { type: 'rest', ms: 4_000 } },
-    { name: 'with another status', status: 429, texts: ['3'], rest: { type: 'none' } },
-    ...['', '-1', 'NaN', '1e3', 'Wed, 21 Oct 2026 07:28:00 GMT', '99999999999'].map((text) => {
-      const rest: ToldRest = { type: 'invalid', text };
-      return { name: `no number of seconds: ${text}`, texts: [text], rest };
-    }),
-  ];
+  const cases: readonly { name: string; status?: number; texts: string[]; rest: RequestedPause }[] =
+    [
+      { name: 'none', texts: [], rest: { type: 'none' } },
+      { name: 'whole seconds', texts: ['3'], rest: { type: 'rest', ms: 3_000 } },
+      { name: 'a fraction', texts: ['0.25'], rest: { type: 'rest', ms: 250 } },
+      { name: 'nothing', texts: ['0'], rest: { type: 'rest', ms: 0 } },
+      { name: 'the longer of two', texts: ['1', '4'], rest: { type: 'rest', ms: 4_000 } },
+      { name: 'with another status', status: 429, texts: ['3'], rest: { type: 'none' } },
+      ...['', '-1', 'NaN', '1e3', 'Wed, 21 Oct 2026 07:28:00 GMT', '99999999999'].map((text) => {
+        const rest: RequestedPause = { type: 'invalid', text };
+        return { name: `no number of seconds: ${text}`, texts: [text], rest };
+      }),
+    ];
   for (const { name, status = 503, texts, rest } of cases) {
     test(name, () => {
       const rawHeaders = texts.flatMap((text) => ['Retry-After', text]);
@@ -158,7 +159,7 @@
     name: string;
     status: number;
     headers: Record<string, string>;
-    expected: ServerWord;
+    expected: ProbeResult;
   }[] = [
     { name: 'is well', status: 200, headers: { 'x-instance-id': 's1' }, expected: 'staying' },
     { name: 'is leaving', status: 503, headers: { 'x-instance-id': 's1' }, expected: 'leaving' },
--- a/test/routing/promptHolders.test.ts
+++ b/test/routing/promptLocations.test.ts
@@ -3,7 +3,7 @@
 import type { BackendServer } from '@flamingocourse/core';
 import {
   PrefixAffinityChooser,
-  PromptHolders,
+  PromptLocations,
   ServerPool,
   chooseServer,
   hash32,
@@ -24,7 +24,7 @@
 
 class Instance {
   readonly pool = new ServerPool({ dataCentre: 'dc-a', concurrencyPerServer: 128 });
-  readonly holders = new PromptHolders();
+  readonly holders = new PromptLocations();
   readonly #chooser = new PrefixAffinityChooser(1.5);
   #inFlight: { attempt: number; until: number }[] = [];
 
@@ -65,10 +65,10 @@
     const holders = read.get(session) ?? new Set<string>();
     const known = instance.holders.find(session);
     const except = new Set([id]);
-    const source = known ?? instance.pool.likelyHolder(hash32(session), except, now)?.id;
+    const source = known ?? instance.pool.likelyPromptServer(hash32(session), except, now)?.id;
     const copied = copies && source !== undefined && holders.has(source);
     if (holders.size > 0 && !holders.has(id) && !copied) again += SESSION_TOKENS;
-    instance.holders.read(session, id);
+    instance.holders.record(session, id);
     read.set(session, holders.add(id));
   }
   return again;
@@ -90,23 +90,23 @@
 describe('source of a copy', () => {
   const pool = new ServerPool({ dataCentre: 'dc-a', concurrencyPerServer: 8 });
   pool.applyList(SERVERS.map(server), 0);
-  const first = pool.likelyHolder(hash32('p'), new Set(), 0)?.id ?? '';
+  const first = pool.likelyPromptServer(hash32('p'), new Set(), 0)?.id ?? '';
 
   test('is not an excluded server', () => {
-    const second = pool.likelyHolder(hash32('p'), new Set([first]), 0)?.id;
+    const second = pool.likelyPromptServer(hash32('p'), new Set([first]), 0)?.id;
     assert.ok(second !== undefined && second !== first);
   });
 
   test('is not an unreachable or leaving server', () => {
     const attempt = pool.dispatch(first, 0);
-    pool.unreachable(attempt, 0);
-    const second = pool.likelyHolder(hash32('p'), new Set(), 0)?.id ?? '';
+    pool.recordUnreachable(attempt, 0);
+    const second = pool.likelyPromptServer(hash32('p'), new Set(), 0)?.id ?? '';
     assert.notEqual(second, first);
     pool.markLeaving(second);
-    assert.notEqual(pool.likelyHolder(hash32('p'), new Set(), 0)?.id, second);
+    assert.notEqual(pool.likelyPromptServer(hash32('p'), new Set(), 0)?.id, second);
   });
 
   test('is undefined if there is no other server', () => {
-    assert.equal(pool.likelyHolder(hash32('p'), new Set(SERVERS), 0), undefined);
+    assert.equal(pool.likelyPromptServer(hash32('p'), new Set(SERVERS), 0), undefined);
   });
 });
--- a/test/routing/rateLimitedLane.test.ts
+++ b/test/routing/rateLimitedLane.test.ts
@@ -78,7 +78,7 @@
     test(name, async () => {
       const world = new LaneFixture();
       // 0.6 of 1.2 requests per second is one per 1,389 ms; the first is due after half of that.
-      world.limits.tell('s1', { type: 'limit', perSecond: 1.2 }, 0);
+      world.limits.record('s1', { type: 'limit', perSecond: 1.2 }, 0);
       assert.equal(await world.place({ startBy: startByMs }), end);
     });
   }
@@ -95,7 +95,7 @@
     test(name, async () => {
       const world = new LaneFixture();
       const rest = { type: 'rest', ms: 1_000 } as const;
-      world.notices.tell({ id: 's1' }, { leaving: false, rest, rateLimit: { type: 'none' } }, 0);
+      world.notices.record({ id: 's1' }, { leaving: false, rest, rateLimit: { type: 'none' } }, 0);
       assert.equal(await world.place({ startBy: startByMs }), end);
       assert.equal(world.lane.pool.capacity(0), 0);
       world.clock.advance(1_000);
@@ -109,11 +109,11 @@
 // refused due to a rate limit. Reserving slots does not help against a rate limit.
 test('refusals due to a rate limit reserve no slots after the limit has ended', async () => {
   const world = new LaneFixture();
-  world.limits.tell('s1', { type: 'limit', perSecond: 0.1 }, 0);
+  world.limits.record('s1', { type: 'limit', perSecond: 0.1 }, 0);
   for (let count = 0; count < 100; count += 1) {
     assert.equal(await world.place({ importance: 'first', startBy: 100 }), 'overloaded');
   }
-  world.limits.tell('s1', { type: 'none' }, 0);
+  world.limits.record('s1', { type: 'none' }, 0);
   for (let count = 0; count < SLOTS; count += 1) assert.equal(await world.place(), 'placed');
 });
 
@@ -122,7 +122,7 @@
   const { limits, lane } = new LaneFixture();
   const { pool } = lane;
   assert.equal(pool.capacity(0), SLOTS);
-  limits.tell('s1', { type: 'limit', perSecond: 1 }, 0);
+  limits.record('s1', { type: 'limit', perSecond: 1 }, 0);
   const dueAt = limits.nextAt('s1', 0);
   const everything = { keptFree: 0, extra: 0 };
   assert.equal(pool.capacity(dueAt - 1), 0);
@@ -131,6 +131,6 @@
   assert.equal(pool.hasRoom(everything, dueAt), true);
   pool.dispatch('s1', dueAt);
   assert.equal(pool.capacity(dueAt), 0);
-  limits.tell('s1', { type: 'none' }, dueAt);
+  limits.record('s1', { type: 'none' }, dueAt);
   assert.equal(pool.capacity(dueAt), SLOTS);
 });
--- a/test/routing/reachability.test.ts
+++ b/test/routing/reachability.test.ts
@@ -70,7 +70,7 @@
   const pool = createPool(['near', 'far-1', 'far-2', 'far-3']);
   for (const id of ['far-1', 'far-2', 'far-3']) {
     const attempt = pool.dispatch(id, 100);
-    pool.unreachable(attempt, 350);
+    pool.recordUnreachable(attempt, 350);
     pool.settle(attempt, { end: 'cancelled' }, 350);
   }
   assert.deepEqual(openIds(pool, 400), ['near']);
@@ -80,7 +80,7 @@
 test('if no server is reachable, the caller is refused at once', () => {
   const pool = createPool(['far']);
   const attempt = pool.dispatch('far', 0);
-  pool.unreachable(attempt, 250);
+  pool.recordUnreachable(attempt, 250);
   assert.equal(pool.hasOpenServer(undefined, 300), false);
   assert.equal(pool.hasOpenServer(undefined, 2_000), true);
 });
@@ -91,10 +91,10 @@
   const pool = createPool(['dark', 'sound']);
   const waiting = pool.dispatch('dark', 0);
   const answered = pool.dispatch('sound', 0);
-  pool.heard(answered, 350);
+  pool.recordReceived(answered, 350);
   assert.deepEqual(pool.avoidSilent(400, 300), []);
   assert.deepEqual(pool.avoidSilent(400, 450), ['dark']);
   assert.deepEqual(openIds(pool, 460), ['sound']);
-  pool.heard(waiting, 500);
+  pool.recordReceived(waiting, 500);
   assert.deepEqual(openIds(pool, 510), ['dark', 'sound']);
 });
--- a/test/routing/serverChooser.test.ts
+++ b/test/routing/serverChooser.test.ts
@@ -13,7 +13,7 @@
     local: true,
     load,
     capacity,
-    owed: false,
+    isDue: false,
     hasRoom: true,
   };
 }
--- a/test/routing/serverNotices.test.ts
+++ b/test/routing/serverNotices.test.ts
@@ -1,10 +1,10 @@
-import type { NoticeChange, ServerNotice, ServerStart } from '@flamingocourse/core';
+import type { NoticeChange, ServerNotice, ServerIncarnation } from '@flamingocourse/core';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { ServerNotices, ServerRateLimits } from '@flamingocourse/core';
 
-const INCARNATION: ServerStart = { id: 'p1', bornAt: 100 };
-const NEXT_INCARNATION: ServerStart = { id: 'p1', bornAt: 200 };
+const INCARNATION: ServerIncarnation = { id: 'p1', bornAt: 100 };
+const NEXT_INCARNATION: ServerIncarnation = { id: 'p1', bornAt: 200 };
 
 function notice(change: Partial<ServerNotice> = {}): ServerNotice {
   return { leaving: false, rest: { type: 'none' }, rateLimit: { type: 'none' }, ...change };
@@ -23,24 +23,24 @@
 describe('a server that reports that it is leaving', () => {
   test('gets no more requests, whatever it reports later', () => {
     const notices = createNotices();
-    assert.deepEqual(notices.tell(INCARNATION, LEAVES, 0), ['leaving'] satisfies NoticeChange[]);
-    assert.deepEqual(notices.tell(INCARNATION, notice(), 10), []);
+    assert.deepEqual(notices.record(INCARNATION, LEAVES, 0), ['leaving'] satisfies NoticeChange[]);
+    assert.deepEqual(notices.record(INCARNATION, notice(), 10), []);
     assert.equal(notices.nextAt(INCARNATION, 1_000_000), Infinity);
   });
 
   test('counts as a different one after a restart', () => {
     const notices = createNotices();
-    notices.tell(INCARNATION, LEAVES, 0);
+    notices.record(INCARNATION, LEAVES, 0);
     assert.equal(notices.nextAt(NEXT_INCARNATION, 10), 10);
-    notices.tell(NEXT_INCARNATION, notice(), 20);
+    notices.record(NEXT_INCARNATION, notice(), 20);
     // a late answer of the earlier incarnation.
-    notices.tell(INCARNATION, LEAVES, 30);
+    notices.record(INCARNATION, LEAVES, 30);
     assert.equal(notices.nextAt(NEXT_INCARNATION, 40), 40);
   });
 
   test('is identified by its id alone if its start time is unknown', () => {
     const notices = createNotices();
-    notices.tell({ id: 'p1' }, LEAVES, 0);
+    notices.record({ id: 'p1' }, LEAVES, 0);
     assert.equal(notices.isLeaving(INCARNATION), true);
   });
 });
@@ -55,22 +55,22 @@
   for (const { name, ms, at, next } of cases) {
     test(name, () => {
       const notices = createNotices();
-      notices.tell(INCARNATION, rests(ms), 0);
+      notices.record(INCARNATION, rests(ms), 0);
       assert.equal(notices.nextAt(INCARNATION, at), next);
     });
   }
 
   test('is reported once per pause, and pauses as long as it last requested', () => {
     const notices = createNotices();
-    assert.deepEqual(notices.tell(INCARNATION, rests(3_000), 0), ['rests']);
-    assert.deepEqual(notices.tell(INCARNATION, rests(3_000), 1_000), []);
+    assert.deepEqual(notices.record(INCARNATION, rests(3_000), 0), ['rests']);
+    assert.deepEqual(notices.record(INCARNATION, rests(3_000), 1_000), []);
     assert.equal(notices.nextAt(INCARNATION, 1_000), 4_000);
   });
 
   test('is tested by one request at a time after the pause', () => {
     const notices = createNotices();
-    notices.tell(INCARNATION, rests(1_000), 0);
-    notices.sent(INCARNATION, 1_000);
+    notices.record(INCARNATION, rests(1_000), 0);
+    notices.recordSent(INCARNATION, 1_000);
     assert.equal(notices.nextAt(INCARNATION, 1_001), 1_500);
     assert.equal(notices.nextAt(INCARNATION, 1_500), 1_500);
   });
@@ -79,25 +79,25 @@
   // one request is sent every half second.
   test('is used normally once the test request is answered', () => {
     const notices = createNotices();
-    notices.tell(INCARNATION, rests(1_000), 0);
-    notices.sent(INCARNATION, 1_000);
-    assert.deepEqual(notices.tell(INCARNATION, notice(), 1_005), ['back']);
-    notices.sent(INCARNATION, 1_005);
+    notices.record(INCARNATION, rests(1_000), 0);
+    notices.recordSent(INCARNATION, 1_000);
+    assert.deepEqual(notices.record(INCARNATION, notice(), 1_005), ['back']);
+    notices.recordSent(INCARNATION, 1_005);
     assert.equal(notices.nextAt(INCARNATION, 1_005), 1_005);
   });
 
   test('stays in its pause when an earlier request is answered', () => {
     const notices = createNotices();
-    notices.tell(INCARNATION, rests(1_000), 0);
-    assert.deepEqual(notices.tell(INCARNATION, notice(), 500), []);
+    notices.record(INCARNATION, rests(1_000), 0);
+    assert.deepEqual(notices.record(INCARNATION, notice(), 500), []);
     assert.equal(notices.nextAt(INCARNATION, 500), 1_000);
   });
 
   // Guards against a first request long after a pause that has all others refused during its test.
   test('is used normally by an instance that returns long after the pause', () => {
     const notices = createNotices();
-    notices.tell(INCARNATION, rests(1_000), 0);
-    notices.sent(INCARNATION, 3_001);
+    notices.record(INCARNATION, rests(1_000), 0);
+    notices.recordSent(INCARNATION, 3_001);
     assert.equal(notices.nextAt(INCARNATION, 3_001), 3_001);
   });
 
@@ -106,7 +106,7 @@
   test('gets its first requests one after another', () => {
     const times = [0, 0.5, 0.99].map((random) => {
       const notices = createNotices(random);
-      notices.tell(INCARNATION, rests(3_000), 0);
+      notices.record(INCARNATION, rests(3_000), 0);
       return notices.nextAt(INCARNATION, 0);
     });
     assert.deepEqual(times, [3_000, 3_375, 3_742.5]);
@@ -115,14 +115,14 @@
   test('with an invalid value stays in use', () => {
     const notices = createNotices();
     const unread = notice({ rest: { type: 'invalid', text: 'soon' } });
-    assert.deepEqual(notices.tell(INCARNATION, unread, 0), ['rest-invalid']);
+    assert.deepEqual(notices.record(INCARNATION, unread, 0), ['rest-invalid']);
     assert.equal(notices.nextAt(INCARNATION, 1), 1);
   });
 });
 
 test('a reported status is removed when it can no longer apply', () => {
   const notices = createNotices();
-  notices.tell(INCARNATION, LEAVES, 0);
+  notices.record(INCARNATION, LEAVES, 0);
   notices.retain(new Set(), 599_999);
   assert.equal(notices.counts(599_999).leaving, 1);
   notices.retain(new Set(), 600_000);
--- a/test/routing/serverRateLimits.test.ts
+++ b/test/routing/serverRateLimits.test.ts
@@ -1,16 +1,16 @@
-import type { RateLimitChange, ToldRateLimit } from '@flamingocourse/core';
+import type { RateLimitChange, ReportedRateLimit } from '@flamingocourse/core';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { ServerRateLimits } from '@flamingocourse/core';
 
-const limit = (perSecond: number): ToldRateLimit => ({ type: 'limit', perSecond });
-const none: ToldRateLimit = { type: 'none' };
-const invalid: ToldRateLimit = { type: 'invalid', text: '-1' };
+const limit = (perSecond: number): ReportedRateLimit => ({ type: 'limit', perSecond });
+const none: ReportedRateLimit = { type: 'none' };
+const invalid: ReportedRateLimit = { type: 'invalid', text: '-1' };
 
 describe('the known limit after several answers of a server', () => {
   const cases: readonly {
     name: string;
-    told: ToldRateLimit[];
+    told: ReportedRateLimit[];
     changes: (RateLimitChange | undefined)[];
     known: number | undefined;
   }[] = [
@@ -34,7 +34,7 @@
     test(name, () => {
       const limits = new ServerRateLimits(() => 0.5);
       assert.deepEqual(
-        told.map((word, at) => limits.tell('p1', word, at)),
+        told.map((word, at) => limits.record('p1', word, at)),
         changes,
       );
       assert.equal(limits.view('p1', 10)?.limitPerSecond, known);
@@ -44,7 +44,7 @@
 
 test('an instance keeps the limits during an outage of the list', () => {
   const limits = new ServerRateLimits(() => 0.5);
-  limits.tell('p1', limit(2), 0);
+  limits.record('p1', limit(2), 0);
   limits.retain(new Set(), 5_000);
   assert.equal(limits.view('p1', 5_000)?.limitAgeMs, 5_000);
   limits.retain(new Set(), 700_000);
