--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -8,7 +8,7 @@
 export * from './runtime/enginePriority.js';
 export * from './runtime/reportPeriod.js';
 export * from './runtime/retryAllowance.js';
-export * from './runtime/attemptJudgement.js';
+export * from './runtime/retryPolicy.js';
 export type * from './types/call.js';
 export type * from './types/context.js';
 export * from './types/dialects.js';
--- a/packages/gateway/src/node/callerAnswer.ts
+++ b/packages/gateway/src/node/callerAnswer.ts
@@ -1,7 +1,7 @@
 /** The response to one caller. */
 
 import type { ServerResponse } from 'node:http';
-import type { WrittenRefusal } from '../types/dialects.js';
+import type { EncodedRefusal } from '../types/dialects.js';
 import { EventTiming } from '@flamingocourse/core';
 
 /**
@@ -97,7 +97,7 @@
   }
 
   /** Writes a refusal and returns its status. */
-  refuse({ status, headers, body }: WrittenRefusal): number {
+  refuse({ status, headers, body }: EncodedRefusal): number {
     if (this.#callerGone) return status;
     if (this.#closesConnection()) this.#res.setHeader('connection', 'close');
     this.#res.writeHead(status, { ...headers, 'content-length': Buffer.byteLength(body) });
--- a/packages/gateway/src/node/closeWithCaller.ts
+++ b/packages/gateway/src/node/closeOnCallerEnd.ts
@@ -9,9 +9,9 @@
  * caller that has disconnected.
  *
  * @example
- * closeWithCaller(createServer(handle)).listen(8_080);
+ * closeOnCallerEnd(createServer(handle)).listen(8_080);
  */
-export function closeWithCaller(server: Server): Server {
+export function closeOnCallerEnd(server: Server): Server {
   server.on('connection', (socket: Socket) => {
     socket.on('end', () => {
       // a response that was written but not flushed yet is still delivered.
--- a/packages/gateway/src/node/configurationWatch.ts
+++ b/packages/gateway/src/node/configurationWatch.ts
@@ -13,7 +13,7 @@
  * changes must take effect here. Without this reserve, a configuration that was written during the
  * silence would be applied some milliseconds too late.
  */
-export const REOPEN_MS = 300;
+export const WATCH_REOPEN_MS = 300;
 /**
  * Milliseconds beyond the watch's idle time without contact to the store after which the
  * configuration may be outdated. A healthy watch gets data within its idle time; the margin covers
@@ -25,7 +25,7 @@
  * Milliseconds over which versions are batched before they are read. A single version takes effect
  * at once; of several in quick succession only the last is checked and applied.
  */
-export const VERSIONS_GATHER_MS = 400;
+export const CONFIGURATION_BATCH_MS = 400;
 
 /** Service that keeps the configuration up to date. Registered as `configuration`. */
 export class ConfigurationWatch extends Service {
@@ -67,8 +67,8 @@
   override start(kernel: Kernel): void {
     const { store, dialects, settings } = this.#context;
     this.#subscription = store.watch(dialects.configuration, {
-      idleMs: settings.store.configurationIdleMs - REOPEN_MS,
-      gatherMs: VERSIONS_GATHER_MS,
+      idleMs: settings.store.configurationIdleMs - WATCH_REOPEN_MS,
+      gatherMs: CONFIGURATION_BATCH_MS,
       onEvent: (event) => {
         try {
           this.#onEvent(event);
--- a/packages/gateway/src/node/entryService.ts
+++ b/packages/gateway/src/node/entryService.ts
@@ -15,7 +15,7 @@
 import { ArrivalWatch } from './arrivalWatch.js';
 import { BackendLanes } from './backendLanes.js';
 import { CallerAnswer } from './callerAnswer.js';
-import { closeWithCaller } from './closeWithCaller.js';
+import { closeOnCallerEnd } from './closeOnCallerEnd.js';
 import { ConfigurationWatch } from './configurationWatch.js';
 import {
   bodyTooLarge,
@@ -28,7 +28,7 @@
 import { PrepaidService } from './prepaidService.js';
 import { readRequestBody } from './readRequestBody.js';
 import { RequestFlow } from './requestFlow.js';
-import { doneAfterMs, requestFields } from './requestLine.js';
+import { doneAfterMs, requestFields } from './requestLogLine.js';
 import { ServerDirectory } from './serverDirectory.js';
 
 /** Maximum size of a request head, in bytes; above what any configuration allows callers. */
@@ -68,7 +68,7 @@
     this.#agent = agent;
     const options = { maxHeaderSize: MAX_HEAD_BYTES, noDelay: true };
     const server = createServer(options, (req, res) => void this.#handle(req, res));
-    this.#server = closeWithCaller(server);
+    this.#server = closeOnCallerEnd(server);
     this.#arrivals = new ArrivalWatch(context, server);
     this.#server.requestTimeout = 0;
   }
@@ -264,7 +264,7 @@
 
   #refuse(answer: CallerAnswer, refusal: Refusal): Outcome {
     if (answer.callerGone) return { type: 'gone' };
-    const status = answer.refuse(this.#context.dialects.callers.writeRefusal(refusal));
+    const status = answer.refuse(this.#context.dialects.callers.encodeRefusal(refusal));
     return { type: 'refused', status, refusal };
   }
 
--- a/packages/gateway/src/node/httpHealthCheck.ts
+++ b/packages/gateway/src/node/httpHealthCheck.ts
@@ -5,7 +5,7 @@
 import type { ConfigurationWatch } from './configurationWatch.js';
 import type { ServerAgent } from './serverAgent.js';
 import { HealthCheck } from '../types/healthCheck.js';
-import { learnNotice } from './learnNotice.js';
+import { recordNotice } from './recordNotice.js';
 import { openAttempt } from './httpAttempt.js';
 
 /** Response timeout in milliseconds; a busy server may queue the health check. */
@@ -30,7 +30,7 @@
     this.#agent = agent;
   }
 
-  override async ask(id: ServerId, { service, url, bornAt }: ListedServer): Promise<ProbeResult> {
+  override async probe(id: ServerId, { service, url, bornAt }: ListedServer): Promise<ProbeResult> {
     const start = { id, bornAt };
     const target = this.#configuration.table?.service(service)?.healthPath;
     if (target === undefined) return 'unknown';
@@ -54,7 +54,7 @@
     if (opened.isErr) return opened.error.reason === 'refused' ? 'gone' : 'unknown';
     opened.value.body.resume();
     const word = dialects.servers.judgeHealth(id, opened.value.head);
-    if (word !== 'gone') learnNotice(this.#context, start, opened.value.head);
+    if (word !== 'gone') recordNotice(this.#context, start, opened.value.head);
     return word;
   }
 }
--- a/packages/gateway/src/node/instanceDirectory.ts
+++ b/packages/gateway/src/node/instanceDirectory.ts
@@ -128,7 +128,7 @@
   }
 
   /** Reads the directory early, because a peer does not respond. */
-  lookSoon(): void {
+  readSoon(): void {
     if (this.#now() - this.#lastReadAt >= MIN_EARLY_READ_INTERVAL_MS) this.#scheduleRead(0);
   }
 
--- a/packages/gateway/src/node/prepaidService.ts
+++ b/packages/gateway/src/node/prepaidService.ts
@@ -112,7 +112,7 @@
         return this.#createHolder(`${incarnation}-${name}`, loanSizing, 'pass-by');
       },
       onUnavailable: () => {
-        this.#instances?.lookSoon();
+        this.#instances?.readSoon();
         this.#updateRole();
       },
       onReachable: () => {
--- a/packages/gateway/src/node/learnNotice.ts
+++ b/packages/gateway/src/node/recordNotice.ts
@@ -9,9 +9,9 @@
  * itself sent.
  *
  * @example
- * learnNotice(context, { id: 'p1', bornAt }, answer.head);
+ * recordNotice(context, { id: 'p1', bornAt }, answer.head);
  */
-export function learnNotice(
+export function recordNotice(
   context: GatewayContext,
   server: ServerIncarnation,
   head: ServerHead,
--- a/packages/gateway/src/node/requestFlow.ts
+++ b/packages/gateway/src/node/requestFlow.ts
@@ -11,14 +11,14 @@
 import type { Placement } from '@flamingocourse/router';
 import type { Outcome } from '../types/outcome.js';
 import type { FlowParts, RequestProgress, RoutedCall } from '../types/requestRun.js';
-import type { FailedAttempt } from '../runtime/attemptJudgement.js';
+import type { FailedAttempt } from '../runtime/retryPolicy.js';
 import type { BackendLane } from './backendLanes.js';
 import { createHash } from 'node:crypto';
 import { notRun } from '@flamingocourse/router';
-import { isStream, mayFollow, refuseFailed } from '../runtime/attemptJudgement.js';
+import { isStream, mayRetry, refusalAfterFailure } from '../runtime/retryPolicy.js';
 import { affinityKey } from '../runtime/affinityKey.js';
 import { chargeOf } from '../runtime/charge.js';
-import { importanceOf, effectivePriority } from '../runtime/urgency.js';
+import { importanceOf, effectivePriority } from '../runtime/requestPriority.js';
 import { ServerAttempt, historyOf } from './serverAttempt.js';
 
 /** Minimum `retryAfterMs` of a refusal when no server could take the request, in milliseconds. */
@@ -141,7 +141,7 @@
    */
   #correctRunVerdict(refusal: Refusal): Refusal {
     if (this.#progress.mayHaveRun === 0) return refusal;
-    return refuseFailed(this.#progress.mayHaveRun, refusal.detail, NO_SERVER_RETRY_MS);
+    return refusalAfterFailure(this.#progress.mayHaveRun, refusal.detail, NO_SERVER_RETRY_MS);
   }
 
   /** Returns the final outcome after a failed attempt; undefined if the request is retried. */
@@ -149,13 +149,15 @@
     const { answer, signal } = this.#call;
     if (signal.aborted) return this.#interrupted();
     const now = this.#now();
-    const follows = mayFollow(failed, historyOf(this.#call, this.#progress, now));
+    const follows = mayRetry(failed, historyOf(this.#call, this.#progress, now));
     // an attempt that never reached a server does not count against the retry allowance.
     if (follows && (failed === 'not-sent' || lane.retries.take(now))) return undefined;
     if (answer.started)
       return this.#abortAnswer(`stream aborted after a failed attempt: ${failed}`);
     const detail = 'No backend server gave an answer.';
-    return this.#refuse(refuseFailed(this.#progress.mayHaveRun, detail, retryAfterMs(lane, now)));
+    return this.#refuse(
+      refusalAfterFailure(this.#progress.mayHaveRun, detail, retryAfterMs(lane, now)),
+    );
   }
 
   /** Ends the request because its caller disconnected or its deadline passed. */
@@ -179,7 +181,7 @@
     const { answer } = this.#call;
     if (answer.callerGone) return { type: 'gone' };
     if (answer.started) return this.#abortAnswer(refusal.detail);
-    const status = answer.refuse(this.#parts.context.dialects.callers.writeRefusal(refusal));
+    const status = answer.refuse(this.#parts.context.dialects.callers.encodeRefusal(refusal));
     return { type: 'refused', status, refusal };
   }
 
--- a/packages/gateway/src/node/serverAttempt.ts
+++ b/packages/gateway/src/node/serverAttempt.ts
@@ -1,15 +1,15 @@
 /** One attempt of a request at one backend server: send it, check the response and forward it. */
 
 import type { Placement } from '@flamingocourse/router';
-import type { AttemptHistory, FailedAttempt } from '../runtime/attemptJudgement.js';
+import type { AttemptHistory, FailedAttempt } from '../runtime/retryPolicy.js';
 import type { Relay, RelayEnd } from './answerRelay.js';
 import type { BackendLane } from './backendLanes.js';
 import type { AttemptFault, OpenAnswer } from './httpAttempt.js';
 import type { FlowParts, RequestProgress, RoutedCall } from '../types/requestRun.js';
 import { EventTiming } from '@flamingocourse/core';
-import { isRepeatable, isStream, mayFollow } from '../runtime/attemptJudgement.js';
+import { isRepeatable, isStream, mayRetry } from '../runtime/retryPolicy.js';
 import { enginePriority } from '../runtime/enginePriority.js';
-import { learnNotice } from './learnNotice.js';
+import { recordNotice } from './recordNotice.js';
 import { relayStream, relayWhole } from './answerRelay.js';
 import { openAttempt } from './httpAttempt.js';
 
@@ -227,7 +227,7 @@
   }
 
   #mayRetry(failed: FailedAttempt): boolean {
-    return mayFollow(failed, historyOf(this.#call, this.#progress, this.#now()));
+    return mayRetry(failed, historyOf(this.#call, this.#progress, this.#now()));
   }
 
   #recordLoad(open: OpenAnswer): void {
@@ -238,7 +238,7 @@
   }
 
   #recordNotice({ head }: OpenAnswer): void {
-    learnNotice(this.#parts.context, this.#placement.server, head);
+    recordNotice(this.#parts.context, this.#placement.server, head);
   }
 
   #now(): number {
--- a/packages/gateway/src/node/serverDirectory.ts
+++ b/packages/gateway/src/node/serverDirectory.ts
@@ -45,7 +45,7 @@
  * start, are replaced or report their state, each change would otherwise cost a call. The delay is
  * safe because a leaving server keeps serving for two seconds.
  */
-export const GATHER_MS = 250;
+export const SERVER_LIST_BATCH_MS = 250;
 
 /**
  * Service that keeps the list of servers that may get requests. Registered as `directory`.
@@ -104,7 +104,7 @@
   override start(kernel: Kernel): void {
     const { store, dialects } = this.#context;
     this.#subscription = store.watch(dialects.serverList, {
-      gatherMs: GATHER_MS,
+      gatherMs: SERVER_LIST_BATCH_MS,
       onEvent: (event) => {
         try {
           this.#onEvent(event);
@@ -211,7 +211,7 @@
   async #probe(id: string): Promise<void> {
     const server = this.#servers.get(id);
     if (!server) return;
-    const word = await this.#health.ask(id, server);
+    const word = await this.#health.probe(id, server);
     const now = this.#context.clock.now();
     // the server may have rewritten its entry meanwhile, or restarted under the same id.
     if (!this.#kept.has(id) || this.#servers.get(id) !== server) return;
--- a/packages/gateway/src/runtime/retryAllowance.ts
+++ b/packages/gateway/src/runtime/retryAllowance.ts
@@ -52,7 +52,7 @@
   }
 
   /** Number of timestamps in memory. Bounded by the window, even if no retry is ever requested. */
-  get kept(): number {
+  get timestampCount(): number {
     return this.#requests.length + this.#taken.length;
   }
 
--- a/packages/gateway/src/runtime/attemptJudgement.ts
+++ b/packages/gateway/src/runtime/retryPolicy.ts
@@ -38,9 +38,9 @@
  * allowance separately, and only after attempts that reached a server.
  *
  * @example
- * mayFollow('not-sent', { repetition: 'once', maxAttempts: 1, mayHaveRun: 0, made: 1, leftMs: 400 });
+ * mayRetry('not-sent', { repetition: 'once', maxAttempts: 1, mayHaveRun: 0, made: 1, leftMs: 400 });
  */
-export function mayFollow(failed: FailedAttempt, history: AttemptHistory): boolean {
+export function mayRetry(failed: FailedAttempt, history: AttemptHistory): boolean {
   const { repetition, maxAttempts, mayHaveRun, made, leftMs } = history;
   if (leftMs < MIN_LEFT_MS || made >= MAX_UNRUN + maxAttempts) return false;
   switch (failed) {
@@ -70,7 +70,11 @@
 }
 
 /** Returns the final refusal of a request whose attempts failed. */
-export function refuseFailed(mayHaveRun: number, detail: string, retryAfterMs: number): Refusal {
+export function refusalAfterFailure(
+  mayHaveRun: number,
+  detail: string,
+  retryAfterMs: number,
+): Refusal {
   if (mayHaveRun > 0) return { reason: 'backend-failed', run: 'unknown', detail };
   return { reason: 'no-backend-server', run: 'not-run', detail, retryAfterMs };
 }
--- a/packages/gateway/src/types/call.ts
+++ b/packages/gateway/src/types/call.ts
@@ -74,7 +74,7 @@
 }
 
 /** Load that a server reported in the headers of a response. */
-export interface ToldLoad {
+export interface ReportedLoad {
   running: number;
   waiting: number;
 }
--- a/packages/gateway/src/types/dialects.ts
+++ b/packages/gateway/src/types/dialects.ts
@@ -3,10 +3,10 @@
 import type { Refusal, ServerId, ServerNotice, ProbeResult } from '@flamingocourse/core';
 import type { IncomingMessage, OutgoingHttpHeaders } from 'node:http';
 import type { Result } from 'true-myth';
-import type { AttemptDetails, CallHead, HeadVerdict, ServerHead, ToldLoad } from './call.js';
+import type { AttemptDetails, CallHead, HeadVerdict, ServerHead, ReportedLoad } from './call.js';
 
 /** HTTP response that carries a refusal. */
-export interface WrittenRefusal {
+export interface EncodedRefusal {
   status: number;
   headers: OutgoingHttpHeaders;
   body: string;
@@ -19,7 +19,7 @@
   /** Decodes the head of a request. The error describes what is invalid. */
   abstract decode(req: IncomingMessage): Result<CallHead, string>;
   /** Encodes a refusal as an HTTP response. */
-  abstract writeRefusal(refusal: Refusal): WrittenRefusal;
+  abstract encodeRefusal(refusal: Refusal): EncodedRefusal;
 }
 
 /** Wire format between this instance and backend servers. */
@@ -29,7 +29,7 @@
   /** Classifies the head of a response. */
   abstract judge(head: CallHead, answer: ServerHead): HeadVerdict;
   /** Returns the load of the server, if the response reports it. */
-  abstract load(answer: ServerHead): ToldLoad | undefined;
+  abstract load(answer: ServerHead): ReportedLoad | undefined;
   /** Returns what the response says about its server: leaving, requested pause and rate limit. */
   abstract notice(answer: ServerHead): ServerNotice;
   /** Returns the headers of a health check, as alternating names and values. */
--- a/packages/gateway/src/types/healthCheck.ts
+++ b/packages/gateway/src/types/healthCheck.ts
@@ -5,5 +5,5 @@
 /** Checks the status of backend servers. */
 export abstract class HealthCheck {
   /** Asks a server for its status. Never rejects; takes a bounded time. */
-  abstract ask(id: ServerId, server: ListedServer): Promise<ProbeResult>;
+  abstract probe(id: ServerId, server: ListedServer): Promise<ProbeResult>;
 }
--- a/test/gateway/decisions.test.ts
+++ b/test/gateway/decisions.test.ts
@@ -3,7 +3,12 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { RouteTable, pickTarget } from '@flamingocourse/core';
-import { RetryAllowance, affinityKey, mayFollow, refuseFailed } from '@flamingocourse/gateway';
+import {
+  RetryAllowance,
+  affinityKey,
+  mayRetry,
+  refusalAfterFailure,
+} from '@flamingocourse/gateway';
 
 describe('a retry', () => {
   // guards against running a request twice: the connection broke after it was sent, and it was
@@ -47,17 +52,17 @@
   ];
   for (const { failed, change = {}, expected } of cases) {
     test(`${expected ? 'may' : 'may not'} follow ${failed} ${JSON.stringify(change)}`, () => {
-      assert.equal(mayFollow(failed, { ...base, ...change }), expected);
+      assert.equal(mayRetry(failed, { ...base, ...change }), expected);
     });
   }
 });
 
 // guards against a refusal that says "not run" although the request was executed.
 test('a refusal says not run only when no attempt can have run', () => {
-  assert.equal(refuseFailed(0, 'gone', 300).run, 'not-run');
-  assert.equal(refuseFailed(0, 'gone', 300).retryAfterMs, 300);
-  assert.equal(refuseFailed(1, 'gone', 300).run, 'unknown');
-  assert.equal(refuseFailed(1, 'gone', 300).retryAfterMs, undefined);
+  assert.equal(refusalAfterFailure(0, 'gone', 300).run, 'not-run');
+  assert.equal(refusalAfterFailure(0, 'gone', 300).retryAfterMs, 300);
+  assert.equal(refusalAfterFailure(1, 'gone', 300).run, 'unknown');
+  assert.equal(refusalAfterFailure(1, 'gone', 300).retryAfterMs, undefined);
 });
 
 describe('the retry allowance', () => {
@@ -95,7 +100,7 @@
     // requested, so an instance without failures grew for a day until it was killed.
     const allowance = new RetryAllowance({ ...options, instances: 1 });
     for (let now = 0; now < 60_000; now += 10) allowance.request(now);
-    assert.ok(allowance.kept <= 1_000, `kept ${String(allowance.kept)}`);
+    assert.ok(allowance.timestampCount <= 1_000, `kept ${String(allowance.timestampCount)}`);
   });
 });
 
--- a/test/gateway/directoryWorld.ts
+++ b/test/gateway/directoryWorld.ts
@@ -9,7 +9,7 @@
 import { Kernel, ManualClock, MemoryEventLog } from '@flamingocourse/kernel';
 import { MemoryObjectStore } from '@flamingocourse/store';
 import { ServerDirectory } from '../../packages/gateway/src/node/serverDirectory.js';
-import { contextOf } from './contextOf.js';
+import { testContext } from './testContext.js';
 
 /** Milliseconds by which the clock advances per step. */
 const STEP_MS = 10;
@@ -34,7 +34,7 @@
     this.#clock = clock;
   }
 
-  override ask(id: ServerId): Promise<ProbeResult> {
+  override probe(id: ServerId): Promise<ProbeResult> {
     const leaves = this.#clock.now() >= (this.leavesAt.get(id) ?? Infinity);
     return Promise.resolve(leaves ? 'leaving' : 'staying');
   }
@@ -53,7 +53,7 @@
   private constructor(t: TestContext) {
     this.#t = t;
     this.#directory = new ServerDirectory(
-      contextOf(this.clock, this.log, this.#store),
+      testContext(this.clock, this.log, this.#store),
       this.#healthCheck,
     );
   }
--- a/test/gateway/fleet/newsFleet.ts
+++ b/test/gateway/fleet/newsFleet.ts
@@ -11,7 +11,7 @@
 import { NewsService } from '../../../packages/gateway/src/node/newsService.js';
 import { NewsCalls } from '../../../packages/gateway/src/types/newsCalls.js';
 import { createRandom } from '../../../packages/lab/src/runtime/random.js';
-import { contextOf } from '../contextOf.js';
+import { testContext } from '../testContext.js';
 
 /** One-way latency in milliseconds between two instances. */
 const LATENCY_MS = 2;
@@ -140,7 +140,7 @@
     await this.#processes.get(name)?.kernel.stop();
     const instance = this.#instances.find((each) => each.name === name);
     if (!instance) throw new RangeError(`no instance ${name}`);
-    const base = contextOf(this.clock, this.log, new MemoryObjectStore());
+    const base = testContext(this.clock, this.log, new MemoryObjectStore());
     const settings = { ...base.settings, instance: name, dataCentre: instance.dataCentre };
     const context = { ...base, settings, random: () => this.#random.fraction() };
     const incarnation = `${name}/${String(this.clock.now())}`;
--- a/test/gateway/fleet/prepaidFleet.ts
+++ b/test/gateway/fleet/prepaidFleet.ts
@@ -17,7 +17,7 @@
 import { ServerAgent } from '../../../packages/gateway/src/node/serverAgent.js';
 import { ServerDirectory } from '../../../packages/gateway/src/node/serverDirectory.js';
 import { createRandom } from '../../../packages/lab/src/runtime/random.js';
-import { contextOf } from '../contextOf.js';
+import { testContext } from '../testContext.js';
 import type { Peer } from './loanLink.js';
 import { LoanLink } from './loanLink.js';
 import { TestProcess, StoreLink, StoreLoad, LinkFaults } from './storeLink.js';
@@ -95,7 +95,7 @@
 const MIN_WEIGHT = 0.3;
 
 class NoHealthCheck extends HealthCheck {
-  override ask(): Promise<'unknown'> {
+  override probe(): Promise<'unknown'> {
     return Promise.resolve('unknown');
   }
 }
@@ -319,7 +319,7 @@
     const random = (): number => this.#random.fraction();
     const process = new TestProcess(faults);
     const store = new StoreLink(this.#objects, this.#load, process, random);
-    const base = contextOf(this.clock, log, store);
+    const base = testContext(this.clock, log, store);
     const listen = { ...base.settings.listen, mesh: { host: name, port: 7_340 } };
     const settings = { ...base.settings, instance: name, dataCentre, listen };
     const notices = new ServerNotices(new ServerRateLimits(random), random);
--- a/test/gateway/keptCauses.test.ts
+++ b/test/gateway/keptCauses.test.ts
@@ -10,7 +10,7 @@
 import { NewsService } from '../../packages/gateway/src/node/newsService.js';
 import { SharedQuarantine } from '../../packages/gateway/src/node/sharedQuarantine.js';
 import { NewsCalls } from '../../packages/gateway/src/types/newsCalls.js';
-import { contextOf } from './contextOf.js';
+import { testContext } from './testContext.js';
 
 /** Reaches no peer. */
 class NoCalls extends NewsCalls {
@@ -24,7 +24,7 @@
 
 /** Starts a process on a store that may already contain causes. */
 async function start(t: TestContext, store: MemoryObjectStore): Promise<World> {
-  const causes = new KeptCauses(contextOf(new ManualClock(), new MemoryEventLog(), store));
+  const causes = new KeptCauses(testContext(new ManualClock(), new MemoryEventLog(), store));
   const found: ProvenCrashCause[] = [];
   causes.onCause((each) => found.push(each));
   t.after(() => {
@@ -76,7 +76,7 @@
 // Guards against a cause that stays stored because the request finished at an instance that did not store it.
 test('a request that finished at another instance is removed as well', async (t) => {
   const store = new MemoryObjectStore();
-  const context = contextOf(new ManualClock(), new MemoryEventLog(), store);
+  const context = testContext(new ManualClock(), new MemoryEventLog(), store);
   const { causes } = await start(t, store);
   const gossip = new NewsService(context, 'life-1', new NoCalls());
   new SharedQuarantine(context, gossip, causes).onNews(() => undefined);
--- a/test/gateway/propagation.test.ts
+++ b/test/gateway/propagation.test.ts
@@ -2,10 +2,10 @@
 import { describe, test } from 'node:test';
 import { parseGatewaySettings } from '@flamingocourse/gateway';
 import {
-  REOPEN_MS,
-  VERSIONS_GATHER_MS,
+  WATCH_REOPEN_MS,
+  CONFIGURATION_BATCH_MS,
 } from '../../packages/gateway/src/node/configurationWatch.js';
-import { GATHER_MS } from '../../packages/gateway/src/node/serverDirectory.js';
+import { SERVER_LIST_BATCH_MS } from '../../packages/gateway/src/node/serverDirectory.js';
 
 /** Milliseconds that a healthy store takes to return a list over a link of 7 Mbit/s. */
 const LIST_MS = 100;
@@ -33,11 +33,16 @@
   });
   const { watchIdleMs, configurationIdleMs } = settings.store;
   const states = [
-    { state: 'servers that leave', pauseMs: GATHER_MS, hangMs: watchIdleMs, boundMs: leavingMs },
+    {
+      state: 'servers that leave',
+      pauseMs: SERVER_LIST_BATCH_MS,
+      hangMs: watchIdleMs,
+      boundMs: leavingMs,
+    },
     {
       state: 'configuration, keys and budgets',
-      pauseMs: VERSIONS_GATHER_MS,
-      hangMs: configurationIdleMs - REOPEN_MS,
+      pauseMs: CONFIGURATION_BATCH_MS,
+      hangMs: configurationIdleMs - WATCH_REOPEN_MS,
       boundMs: applyMs,
     },
   ];
--- a/test/gateway/contextOf.ts
+++ b/test/gateway/testContext.ts
@@ -9,7 +9,7 @@
 import { GatewayMetrics } from '../../packages/gateway/src/node/gatewayMetrics.js';
 
 /** Returns a context with default settings and without network. */
-export function contextOf(clock: Clock, log: EventLog, store: ObjectStore): GatewayContext {
+export function testContext(clock: Clock, log: EventLog, store: ObjectStore): GatewayContext {
   const settings = parseGatewaySettings(
     JSON.stringify({
       instance: 'edge-1',
