--- a/packages/gateway/src/node/configurationWatch.ts
+++ b/packages/gateway/src/node/configurationWatch.ts
@@ -6,7 +6,7 @@
 import type { GatewayContext } from '../types/context.js';
 import { RouteTable } from '@flamingocourse/core';
 import { Service } from '@flamingocourse/kernel';
-import { StoreContact } from './storeContact.js';
+import { StoreReachability } from './storeReachability.js';
 
 /**
  * Milliseconds reserved for reopening a silent watch and reading the list, within the time in which
@@ -33,13 +33,13 @@
   readonly #context: GatewayContext;
   readonly #listeners: ((table: RouteTable) => void)[] = [];
   #table: RouteTable | undefined;
-  readonly #contact: StoreContact;
+  readonly #contact: StoreReachability;
   #subscription: Subscription | undefined;
 
   constructor(context: GatewayContext) {
     super();
     this.#context = context;
-    this.#contact = new StoreContact(context, this.name);
+    this.#contact = new StoreReachability(context, this.name);
   }
 
   /** Route table of the configuration in force; undefined before the first one was read. */
@@ -77,10 +77,10 @@
         }
       },
       onHeard: () => {
-        this.#contact.heard();
+        this.#contact.recordAnswer();
       },
       onBreak: (reason) => {
-        this.#contact.lose(reason);
+        this.#contact.recordFailure(reason);
       },
     });
   }
--- a/packages/gateway/src/node/createGateway.ts
+++ b/packages/gateway/src/node/createGateway.ts
@@ -17,10 +17,10 @@
 import { GatewayMetrics } from './gatewayMetrics.js';
 import { HttpHealthCheck } from './httpHealthCheck.js';
 import { InstanceDirectory } from './instanceDirectory.js';
-import { KeptCauses } from './keptCauses.js';
+import { StoredCrashCauses } from './storedCrashCauses.js';
 import { MeshLoanCalls } from './meshLoanCalls.js';
-import { MeshNewsCalls } from './meshNewsCalls.js';
-import { NewsService } from './newsService.js';
+import { MeshGossipCalls } from './meshGossipCalls.js';
+import { GossipService } from './gossipService.js';
 import { PrepaidService } from './prepaidService.js';
 import { ServerAgent } from './serverAgent.js';
 import { ServerDirectory } from './serverDirectory.js';
@@ -100,9 +100,9 @@
   const instances = new InstanceDirectory(context);
   const peers = new MeshClient();
   const incarnation = randomUUID();
-  const news = new NewsService(context, incarnation, new MeshNewsCalls(peers));
+  const news = new GossipService(context, incarnation, new MeshGossipCalls(peers));
   const crashCheck = new ConnectionCheck(agent);
-  const causes = new KeptCauses(context);
+  const causes = new StoredCrashCauses(context);
   const quarantine = new SharedQuarantine(context, news, causes);
   const lanes = new BackendLanes(context, crashCheck, quarantine);
   const prepaid = new PrepaidService(context, incarnation, new MeshLoanCalls(peers));
@@ -116,7 +116,7 @@
   if (settings.listen.mesh) {
     const mesh = new MeshServer(settings.listen.mesh);
     mesh.handle('borrow', async (req) => Result.ok(await prepaid.lend(req)));
-    mesh.handle('exchangeNews', (message) => Result.ok(news.hear(message)));
+    mesh.handle('exchangeNews', (message) => Result.ok(news.handleMessage(message)));
     kernel.register(mesh);
   }
   kernel.register(prepaid).register(entry).register(new StatusService(context));
--- a/packages/gateway/src/node/entryService.ts
+++ b/packages/gateway/src/node/entryService.ts
@@ -106,7 +106,7 @@
 
   /** Whether other instances can probably serve callers better than this one. */
   get #defersToOthers(): boolean {
-    return this.#isPartitioned || (this.#parts?.prepaid.isDry ?? false);
+    return this.#isPartitioned || (this.#parts?.prepaid.shouldDivertCallers ?? false);
   }
 
   override async start(kernel: Kernel): Promise<void> {
--- a/packages/gateway/src/node/newsService.ts
+++ b/packages/gateway/src/node/gossipService.ts
@@ -14,10 +14,10 @@
 } from '@flamingocourse/core';
 import type { Kernel } from '@flamingocourse/kernel';
 import type { GatewayContext } from '../types/context.js';
-import type { NewsCalls } from '../types/newsCalls.js';
+import type { GossipCalls } from '../types/gossipCalls.js';
 import { GossipLog, chooseGossipPeers } from '@flamingocourse/core';
 import { Service } from '@flamingocourse/kernel';
-import { Contact } from './contact.js';
+import { ReachabilityTracker } from './reachabilityTracker.js';
 import { InstanceDirectory } from './instanceDirectory.js';
 
 /** Number of peers that receive a message in each round. */
@@ -39,7 +39,7 @@
 
 /** State of another instance. */
 interface Peer {
-  reachability: Contact;
+  reachability: ReachabilityTracker;
   /** Versions that the peer had when it last sent a message. */
   known: VersionVector;
 }
@@ -48,14 +48,14 @@
  * Gossip service. Registered as `news`.
  *
  * @example
- * news.onNews(({ news, at }) => take(news, at));
+ * gossip.onFact(({ news, at }) => take(news, at));
  * news.publish({ type: 'crashed', server, inFlight });
  */
-export class NewsService extends Service {
+export class GossipService extends Service {
   override readonly name = 'news';
   override readonly dependsOn = ['instances'];
   readonly #context: GatewayContext;
-  readonly #calls: NewsCalls;
+  readonly #calls: GossipCalls;
   readonly #log: GossipLog;
   readonly #peers = new Map<string, Peer>();
   readonly #listeners: ((fact: DatedFact) => void)[] = [];
@@ -66,7 +66,7 @@
   #isCaughtUp = false;
   #stopped = false;
 
-  constructor(context: GatewayContext, incarnation: string, calls: NewsCalls) {
+  constructor(context: GatewayContext, incarnation: string, calls: GossipCalls) {
     super();
     this.#context = context;
     this.#calls = calls;
@@ -75,11 +75,11 @@
 
   /** Whether the last message to at least one peer got no answer. */
   get hasUnreachablePeers(): boolean {
-    return [...this.#peers.values()].some(({ reachability }) => reachability.isLost);
+    return [...this.#peers.values()].some(({ reachability }) => reachability.isUnreachable);
   }
 
   /** Calls the listener with each new fact from another instance. */
-  onNews(listener: (fact: DatedFact) => void): void {
+  onFact(listener: (fact: DatedFact) => void): void {
     this.#listeners.push(listener);
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** Processes a message of another instance and returns the answer. */
-  hear({ from, known, items }: GossipMessage): GossipMessage {
+  handleMessage({ from, known, items }: GossipMessage): GossipMessage {
     this.#peerOf(from).known = known;
     this.#applyItems(items);
     return this.#messageFor(known);
@@ -148,7 +148,7 @@
     const outdated = this.#choose(this.#others, MAX_CANDIDATES).filter(({ name }) => {
       return this.#log.missingFrom(this.#peerOf(name).known, now).length > 0;
     });
-    const answering = outdated.filter(({ name }) => !this.#peerOf(name).reachability.isLost);
+    const answering = outdated.filter(({ name }) => !this.#peerOf(name).reachability.isUnreachable);
     if (outdated.length === 0 || this.#roundsLeft === 0) return;
     this.#roundsLeft -= 1;
     const chosen = this.#choose(answering.length > 0 ? answering : outdated);
@@ -184,10 +184,10 @@
     const answer = await this.#calls.exchange(instance, message);
     if (this.#stopped) return 'silent';
     if (answer.isErr) {
-      peer.reachability.lose(answer.error, { items: message.items.length });
+      peer.reachability.recordFailure(answer.error, { items: message.items.length });
       return 'silent';
     }
-    peer.reachability.heard();
+    peer.reachability.recordAnswer();
     peer.known = answer.value.known;
     this.#applyItems(answer.value.items);
     return 'heard';
@@ -210,7 +210,7 @@
     const known = this.#peers.get(name);
     if (known) return known;
     const created = {
-      reachability: new Contact(this.#context, PEER_EVENTS, { peer: name }),
+      reachability: new ReachabilityTracker(this.#context, PEER_EVENTS, { peer: name }),
       known: {},
     };
     this.#peers.set(name, created);
--- a/packages/gateway/src/node/instanceDirectory.ts
+++ b/packages/gateway/src/node/instanceDirectory.ts
@@ -6,7 +6,7 @@
 import type { Kernel } from '@flamingocourse/kernel';
 import type { Result } from 'true-myth';
 import type { StoredInstances } from '../utils/instanceSchemas.js';
-import type { ChangeEnd } from './storedObject.js';
+import type { ChangeOutcome } from './storedObject.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { isDeepStrictEqual } from 'node:util';
 import { Service } from '@flamingocourse/kernel';
@@ -119,7 +119,7 @@
   }
 
   /** Removes lost instances of this data centre. */
-  remove(names: readonly string[]): Promise<Result<ChangeEnd, StoreError>> {
+  remove(names: readonly string[]): Promise<Result<ChangeOutcome, StoreError>> {
     return this.#ownObject.change((seen) => {
       const kept = Object.entries(seen.instances).filter(([name]) => !names.includes(name));
       if (kept.length === Object.keys(seen.instances).length) return seen;
@@ -143,7 +143,7 @@
     this.#scheduleRead(SECOND_READ_MS);
   }
 
-  async #writeSelf(): Promise<Result<ChangeEnd, StoreError>> {
+  async #writeSelf(): Promise<Result<ChangeOutcome, StoreError>> {
     const { random, settings } = this.#context;
     const read = await this.#ownObject.read(this.#now());
     const isListed = read.isOk && read.value.instances[settings.instance] !== undefined;
--- a/packages/gateway/src/node/loanTokens.ts
+++ b/packages/gateway/src/node/loanTokens.ts
@@ -20,7 +20,7 @@
 import { aborted } from '@flamingocourse/kernel';
 import { withReportJitter } from '../runtime/reportPeriod.js';
 import { TokenSource } from '../types/tokenSource.js';
-import { Contact } from './contact.js';
+import { ReachabilityTracker } from './reachabilityTracker.js';
 
 /** Milliseconds for which an answer with too few tokens is trusted; the lender is not asked again meanwhile. */
 const SHORTAGE_TRUST_MS = 250;
@@ -62,7 +62,7 @@
  */
 export class LoanTokens extends TokenSource {
   readonly #options: LoanTokensOptions;
-  readonly #reachability: Contact;
+  readonly #reachability: ReachabilityTracker;
   readonly #accounts = new Map<AccountId, KnownAccount>();
   #holder: PrepaidHolder;
   /** Loans that an earlier process of the lender made. They are charged to the budget, so they can be spent. */
@@ -81,7 +81,7 @@
     super();
     this.#options = options;
     const { context, lender, createHolder } = options;
-    this.#reachability = new Contact(context, LENDER_EVENTS, { lender: lender.name });
+    this.#reachability = new ReachabilityTracker(context, LENDER_EVENTS, { lender: lender.name });
     this.#holder = createHolder('1');
   }
 
@@ -95,7 +95,7 @@
   }
 
   override get isUnreachable(): boolean {
-    return this.#reachability.isLost;
+    return this.#reachability.isUnreachable;
   }
 
   /** Whether the lender announced that it is stopping. */
@@ -119,7 +119,7 @@
     this.#stopped = true;
     clearTimeout(this.#timer);
     await this.#running;
-    if (!this.#reachability.isLost) await this.#exchange(true);
+    if (!this.#reachability.isUnreachable) await this.#exchange(true);
   }
 
   override observe(account: AccountId, amount: Tokens, now: EpochMs): void {
@@ -233,8 +233,8 @@
 
   #applyAnswer(answer: LoanAnswer, report: PrepaidReport): void {
     this.#failures = 0;
-    const wasLost = this.#reachability.isLost;
-    this.#reachability.heard();
+    const wasLost = this.#reachability.isUnreachable;
+    this.#reachability.recordAnswer();
     if (wasLost) this.#options.onReachable();
     if (answer.type === 'forgotten') {
       this.#renew(answer.lender);
@@ -283,7 +283,7 @@
 
   #fail(reason: string, { seq }: PrepaidReport): void {
     this.#failures += 1;
-    this.#reachability.lose(reason, { seq });
+    this.#reachability.recordFailure(reason, { seq });
     this.#options.onUnavailable();
   }
 
--- a/packages/gateway/src/node/meshNewsCalls.ts
+++ b/packages/gateway/src/node/meshGossipCalls.ts
@@ -3,13 +3,13 @@
 import type { FleetInstance, GossipMessage } from '@flamingocourse/core';
 import type { MeshClient } from '@flamingocourse/mesh';
 import { Result } from 'true-myth';
-import { NewsCalls } from '../types/newsCalls.js';
+import { GossipCalls } from '../types/gossipCalls.js';
 
 /** Timeout of a call in milliseconds. It covers the network latency and a CPU pause of 100 ms on a machine. */
 const CALL_TIMEOUT_MS = 300;
 
 /** Sends to the address of an instance's mesh listener. */
-export class MeshNewsCalls extends NewsCalls {
+export class MeshGossipCalls extends GossipCalls {
   readonly #mesh: MeshClient;
 
   constructor(mesh: MeshClient) {
--- a/packages/gateway/src/node/prepaidGrants.ts
+++ b/packages/gateway/src/node/prepaidGrants.ts
@@ -11,7 +11,7 @@
 import type { CallOptions, Collection, PlatformError as StoreError } from '@flamingocourse/store';
 import type { Unit } from 'true-myth';
 import type { GatewayContext } from '../types/context.js';
-import type { ChangeEnd } from './storedObject.js';
+import type { ChangeOutcome } from './storedObject.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import {
   createPrepaidBudgets,
@@ -149,7 +149,7 @@
     page: PrepaidPage,
     shortfalls: ReadonlyMap<AccountId, Tokens>,
     limits: PrepaidLimits,
-  ): Promise<Result<ChangeEnd, StoreError>> {
+  ): Promise<Result<ChangeOutcome, StoreError>> {
     let wanted = new Map<AccountId, Tokens>();
     const asked = await this.#budgets.change((known) => {
       wanted = wantedGrants(known, this.#group, page, shortfalls, limits);
@@ -171,7 +171,7 @@
     group: string,
     page: PrepaidPage,
     limits: PrepaidLimits,
-  ): Promise<Result<ChangeEnd, StoreError>> {
+  ): Promise<Result<ChangeOutcome, StoreError>> {
     const taken = await this.#budgets.change((known) => {
       return hasReturns(page, known, group)
         ? grantPrepaid(known, group, page, new Map(), limits)
@@ -186,7 +186,7 @@
   }
 
   /** Removes instances from their groups. */
-  async leave(instances: readonly string[]): Promise<Result<ChangeEnd, StoreError>> {
+  async leave(instances: readonly string[]): Promise<Result<ChangeOutcome, StoreError>> {
     return this.#budgets.change((known) => leaveGroup(known, instances), this.#now());
   }
 
--- a/packages/gateway/src/node/prepaidService.ts
+++ b/packages/gateway/src/node/prepaidService.ts
@@ -24,7 +24,7 @@
 import { ConfigurationWatch } from './configurationWatch.js';
 import { InstanceDirectory } from './instanceDirectory.js';
 import { Lenders } from './lenders.js';
-import { LoanRequestHandler } from './loanDesk.js';
+import { LoanRequestHandler } from './loanRequestHandler.js';
 import { StoreTokens } from './storeTokens.js';
 
 /** Retry delay in milliseconds for a caller that was refused because no tokens were available. */
@@ -141,7 +141,7 @@
    * recently refused for this reason. If every instance is cut off, all report this, and a load balancer
    * uses them as before.
    */
-  get isDry(): boolean {
+  get shouldDivertCallers(): boolean {
     return this.#now() - this.#unreachableRefusalAt < DIVERT_MS && this.#areSourcesUnreachable;
   }
 
--- a/packages/gateway/src/node/contact.ts
+++ b/packages/gateway/src/node/reachabilityTracker.ts
@@ -4,7 +4,7 @@
 import type { GatewayContext } from '../types/context.js';
 
 /** Log events for the two changes. */
-export interface ContactEvents {
+export interface ReachabilityEvents {
   lost: EventName;
   regained: EventName;
 }
@@ -14,25 +14,25 @@
  *
  * @example
  * const events = { lost: 'lender-lost', regained: 'lender-regained' } as const;
- * const contact = new Contact(context, events, { lender: 'edge-3' });
- * if (answer.isErr) contact.lose(answer.error);
+ * const reachability = new ReachabilityTracker(context, events, { lender: 'edge-3' });
+ * if (answer.isErr) reachability.recordFailure(answer.error);
  */
-export class Contact {
+export class ReachabilityTracker {
   readonly #context: GatewayContext;
-  readonly #events: ContactEvents;
+  readonly #events: ReachabilityEvents;
   readonly #fields: EventFields;
   #unreachableSince: number | undefined;
   #answeredAt = -Infinity;
 
   /** @param fields fields of each log line, such as the name of the party. */
-  constructor(context: GatewayContext, events: ContactEvents, fields: EventFields) {
+  constructor(context: GatewayContext, events: ReachabilityEvents, fields: EventFields) {
     this.#context = context;
     this.#events = events;
     this.#fields = fields;
   }
 
   /** Whether the last call to the party failed. */
-  get isLost(): boolean {
+  get isUnreachable(): boolean {
     return this.#unreachableSince !== undefined;
   }
 
@@ -42,7 +42,7 @@
   }
 
   /** Records an answer; logs `regained` if the party was lost. */
-  heard(fields: EventFields = {}): void {
+  recordAnswer(fields: EventFields = {}): void {
     const now = this.#context.clock.now();
     const silentMs = this.#silentMs(now);
     this.#answeredAt = now;
@@ -58,7 +58,7 @@
   }
 
   /** Records a missing or unusable answer; logs `lost` if the party was not lost yet. */
-  lose(reason: string, fields: EventFields = {}): void {
+  recordFailure(reason: string, fields: EventFields = {}): void {
     if (this.#unreachableSince !== undefined) return;
     const now = this.#context.clock.now();
     this.#unreachableSince = now;
--- a/packages/gateway/src/node/serverDirectory.ts
+++ b/packages/gateway/src/node/serverDirectory.ts
@@ -7,7 +7,7 @@
 import type { HealthCheck } from '../types/healthCheck.js';
 import { KeptServers } from '@flamingocourse/core';
 import { Service } from '@flamingocourse/kernel';
-import { StoreContact } from './storeContact.js';
+import { StoreReachability } from './storeReachability.js';
 
 /** A backend server with the capacity from its entry in the list. */
 export interface DirectoryServer extends BackendServer {
@@ -62,7 +62,7 @@
   readonly #kept = new KeptServers();
   readonly #health: HealthCheck;
   readonly #listeners: ((servers: DirectoryServer[]) => void)[] = [];
-  readonly #contact: StoreContact;
+  readonly #contact: StoreReachability;
   #subscription: Subscription | undefined;
   #timer: NodeJS.Timeout | undefined;
   #graceUntil = -Infinity;
@@ -72,7 +72,7 @@
     super();
     this.#context = context;
     this.#health = health;
-    this.#contact = new StoreContact(context, this.name);
+    this.#contact = new StoreReachability(context, this.name);
   }
 
   /** Servers that may get requests, including kept ones. */
@@ -113,10 +113,10 @@
         }
       },
       onHeard: () => {
-        this.#contact.heard({ servers: this.#servers.size });
+        this.#contact.recordAnswer({ servers: this.#servers.size });
       },
       onBreak: (reason) => {
-        this.#contact.lose(reason);
+        this.#contact.recordFailure(reason);
       },
     });
   }
@@ -192,7 +192,7 @@
     clearTimeout(this.#timer);
     for (const id of this.#kept.takeDueProbes(now)) void this.#probe(id);
     // while the store is unreachable again, a missing entry is no evidence that a server is gone.
-    const over = this.#contact.isLost ? [] : this.#kept.expired(now);
+    const over = this.#contact.isUnreachable ? [] : this.#kept.expired(now);
     for (const id of over) this.#drop(id, 'time is over');
     if (over.length > 0) this.#publish('lapsed');
     if (this.#kept.size === 0) return;
--- a/packages/gateway/src/node/sharedQuarantine.ts
+++ b/packages/gateway/src/node/sharedQuarantine.ts
@@ -12,8 +12,8 @@
 } from '@flamingocourse/core';
 import type { QuarantineExchange, QuarantineNews } from '@flamingocourse/router';
 import type { GatewayContext } from '../types/context.js';
-import type { KeptCauses } from './keptCauses.js';
-import type { NewsService } from './newsService.js';
+import type { StoredCrashCauses } from './storedCrashCauses.js';
+import type { GossipService } from './gossipService.js';
 import { provenCauses } from '@flamingocourse/core';
 
 /** Maximum number of requests in one gossip fact. */
@@ -28,12 +28,12 @@
 /** Sends the events of the quarantine to the fleet, and its proven causes to the store. */
 export class SharedQuarantine implements QuarantineExchange {
   readonly #context: GatewayContext;
-  readonly #gossip: NewsService;
-  readonly #causes: KeptCauses;
+  readonly #gossip: GossipService;
+  readonly #causes: StoredCrashCauses;
   /** Requests that this instance had in flight at a crash, oldest first. */
   readonly #inFlightAtCrash = new Set<Fingerprint>();
 
-  constructor(context: GatewayContext, gossip: NewsService, causes: KeptCauses) {
+  constructor(context: GatewayContext, gossip: GossipService, causes: StoredCrashCauses) {
     this.#context = context;
     this.#gossip = gossip;
     this.#causes = causes;
@@ -58,7 +58,7 @@
   }
 
   onNews(listener: (news: QuarantineNews) => void): void {
-    this.#gossip.onNews(({ news, at }) => {
+    this.#gossip.onFact(({ news, at }) => {
       // every instance that knows the stored cause removes it, wherever the request finished.
       if (news.type === 'finished') this.#causes.remove(news.fingerprint);
       listener({ type: 'event', event: toEvent(news), at });
--- a/packages/gateway/src/node/storeContact.ts
+++ b/packages/gateway/src/node/storeReachability.ts
@@ -1,16 +1,16 @@
 /** Tracks whether the store answers one service. */
 
 import type { GatewayContext } from '../types/context.js';
-import { Contact } from './contact.js';
+import { ReachabilityTracker } from './reachabilityTracker.js';
 
 /**
  * Whether the store answers.
  *
  * @example
- * const contact = new StoreContact(context, 'directory');
- * store.watch(servers, { onEvent, onHeard: () => contact.heard(), onBreak: (reason) => contact.lose(reason) });
+ * const reachability = new StoreReachability(context, 'directory');
+ * store.watch(servers, { onEvent, onHeard: () => reachability.recordAnswer(), onBreak: (reason) => reachability.recordFailure(reason) });
  */
-export class StoreContact extends Contact {
+export class StoreReachability extends ReachabilityTracker {
   /** @param user the service that uses the store, for the log. */
   constructor(context: GatewayContext, user: string) {
     super(context, { lost: 'store-lost', regained: 'store-regained' }, { watch: user });
--- a/packages/gateway/src/node/storeTokens.ts
+++ b/packages/gateway/src/node/storeTokens.ts
@@ -20,7 +20,7 @@
 import { shortageTrustMs, reportPeriodMs, withReportJitter } from '../runtime/reportPeriod.js';
 import { TokenSource } from '../types/tokenSource.js';
 import { PrepaidPages } from './prepaidPages.js';
-import { StoreContact } from './storeContact.js';
+import { StoreReachability } from './storeReachability.js';
 
 /**
  * Milliseconds over which instances spread their reports after limits have changed. All are notified at the
@@ -71,7 +71,7 @@
   readonly #holder: PrepaidHolder;
   readonly #pages: PrepaidPages;
   /** Tracks whether the store answered the last exchange. */
-  readonly #reachability: StoreContact;
+  readonly #reachability: StoreReachability;
   #phase: Phase = 'idle';
   #running: Promise<SyncOutcome> | undefined;
   #timer: NodeJS.Timeout | undefined;
@@ -84,11 +84,11 @@
     this.#options = options;
     this.#holder = options.holder;
     this.#pages = new PrepaidPages(options.context);
-    this.#reachability = new StoreContact(options.context, 'prepaid');
+    this.#reachability = new StoreReachability(options.context, 'prepaid');
   }
 
   override get isUnreachable(): boolean {
-    return this.#reachability.isLost;
+    return this.#reachability.isUnreachable;
   }
 
   /** Starts to hold tokens, unless this instance already does. */
@@ -223,7 +223,9 @@
     this.#timer = setTimeout(() => {
       void this.#sync().finally(() => {
         if (this.#stopping || this.#phase === 'idle') return;
-        this.#reportIn(this.#reachability.isLost ? UNREACHABLE_RETRY_MS : this.#jitteredPeriodMs);
+        this.#reportIn(
+          this.#reachability.isUnreachable ? UNREACHABLE_RETRY_MS : this.#jitteredPeriodMs,
+        );
       });
     }, ms);
   }
@@ -247,10 +249,10 @@
   async #report(last: boolean): Promise<SyncOutcome> {
     const limits = this.#options.limits();
     if (!limits || this.#phase === 'idle') return 'done';
-    const opened = await this.#pages.open(this.#reachability.isLost);
+    const opened = await this.#pages.open(this.#reachability.isUnreachable);
     if (opened.isErr) return this.#fail(opened.error);
     // the store is reachable, even if the report fails because of conflicts with other writers.
-    this.#reachability.heard();
+    this.#reachability.recordAnswer();
     if (this.#holder.isForgotten(opened.value)) this.#renew(opened.value);
     const report = this.#holder.buildReport(this.outlook, this.#now(), last);
     if (report) {
@@ -321,7 +323,7 @@
       return 'failed';
     }
     this.#pages.forget();
-    this.#reachability.lose(message, { seq: this.#holder.pending?.seq });
+    this.#reachability.recordFailure(message, { seq: this.#holder.pending?.seq });
     return 'failed';
   }
 
--- a/packages/gateway/src/node/keptCauses.ts
+++ b/packages/gateway/src/node/storedCrashCauses.ts
@@ -9,13 +9,13 @@
 import type { GatewayContext } from '../types/context.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { Service } from '@flamingocourse/kernel';
-import { provenCauseSchema } from '../utils/causeSchema.js';
-import { StoreContact } from './storeContact.js';
+import { crashCauseSchema } from '../utils/crashCauseSchema.js';
+import { StoreReachability } from './storeReachability.js';
 
 /** One object per cause, named by its fingerprint. */
 const causeCollection: Collection<ProvenCrashCause> = {
   name: 'fleet-causes',
-  schema: provenCauseSchema,
+  schema: crashCauseSchema,
 };
 
 /** Maximum number of stored causes. The oldest are removed beyond it. */
@@ -34,10 +34,10 @@
  * causes.onCause((cause) => suspect(cause));
  * causes.save({ fingerprint, servers });
  */
-export class KeptCauses extends Service {
+export class StoredCrashCauses extends Service {
   override readonly name = 'causes';
   readonly #context: GatewayContext;
-  readonly #reachability: StoreContact;
+  readonly #reachability: StoreReachability;
   readonly #listeners: ((cause: ProvenCrashCause) => void)[] = [];
   /** Known versions of the stored objects. */
   readonly #versions = new Map<Fingerprint, string>();
@@ -48,7 +48,7 @@
   constructor(context: GatewayContext) {
     super();
     this.#context = context;
-    this.#reachability = new StoreContact(context, this.name);
+    this.#reachability = new StoreReachability(context, this.name);
   }
 
   /** Calls the listener with each cause that is read from the store. */
@@ -93,10 +93,10 @@
     this.#readAt = this.#now();
     const list = await this.#context.store.list(causeCollection);
     if (list.isErr) {
-      this.#reachability.lose(list.error.message);
+      this.#reachability.recordFailure(list.error.message);
       return 'away';
     }
-    this.#reachability.heard();
+    this.#reachability.recordAnswer();
     const { items } = list.value;
     for (const { value, version } of items) {
       this.#versions.set(value.fingerprint, version);
@@ -115,7 +115,7 @@
         return;
       }
       if (created.error.code === 'exists') return;
-      this.#reachability.lose(created.error.message, { fingerprint: cause.fingerprint });
+      this.#reachability.recordFailure(created.error.message, { fingerprint: cause.fingerprint });
       if (!retryableCodes.includes(created.error.code)) return;
       await delay(UNREACHABLE_RETRY_MS);
     }
@@ -136,7 +136,7 @@
     const removed = await this.#context.store.remove(causeCollection, name, version);
     if (removed.isOk || ['not-found', 'conflict'].includes(removed.error.code)) return;
     // the next removal or read tries again.
-    this.#reachability.lose(removed.error.message, { cause: name });
+    this.#reachability.recordFailure(removed.error.message, { cause: name });
   }
 
   #now(): number {
--- a/packages/gateway/src/node/storedObject.ts
+++ b/packages/gateway/src/node/storedObject.ts
@@ -14,7 +14,7 @@
 export type UpdateOutcome = 'written' | 'conflict';
 
 /** Outcome of a change; `busy` if every attempt conflicted with another writer. */
-export type ChangeEnd = 'written' | 'unchanged' | 'busy';
+export type ChangeOutcome = 'written' | 'unchanged' | 'busy';
 
 /** Consecutive conflicts after which a change gives up with `busy`. */
 const MAX_CONFLICTS = 8;
@@ -111,7 +111,10 @@
    *
    * @param reduce returns the value itself if nothing has to change.
    */
-  async change(reduce: (value: T) => T, now: number): Promise<Result<ChangeEnd, PlatformError>> {
+  async change(
+    reduce: (value: T) => T,
+    now: number,
+  ): Promise<Result<ChangeOutcome, PlatformError>> {
     for (let tries = 0; tries < MAX_CONFLICTS; tries += 1) {
       const value = this.value ?? this.#initial();
       const next = reduce(value);
--- a/packages/gateway/src/types/newsCalls.ts
+++ b/packages/gateway/src/types/gossipCalls.ts
@@ -4,7 +4,7 @@
 import type { Result } from 'true-myth';
 
 /** Sends news to another instance and returns its answer. */
-export abstract class NewsCalls {
+export abstract class GossipCalls {
   /**
    * Never rejects and returns within a bounded time. The error says why there is no answer; the peer may
    * still have received the message.
--- a/packages/gateway/src/utils/causeSchema.ts
+++ b/packages/gateway/src/utils/crashCauseSchema.ts
@@ -6,7 +6,7 @@
 const MAX_TEXT = 300;
 const MAX_SERVERS = 16;
 
-export const provenCauseSchema: z.ZodType<ProvenCrashCause> = z.object({
+export const crashCauseSchema: z.ZodType<ProvenCrashCause> = z.object({
   fingerprint: z.string().min(1).max(MAX_TEXT),
   servers: z.array(z.string().min(1).max(MAX_TEXT)).max(MAX_SERVERS),
 });
--- a/test/compat/checkGateways.ts
+++ b/test/compat/checkGateways.ts
@@ -1,6 +1,6 @@
 /** Two builds of the pass-through entry in one fleet, on stored objects and settings that one of them wrote. */
 
-import type { UsersServer as Server } from '../platform/usersServer.js';
+import type { FakeServer as Server } from '../platform/fakeServer.js';
 import type { Build } from './builds.js';
 import type { CompatReport } from './report.js';
 import { mkdtemp, rm } from 'node:fs/promises';
@@ -9,8 +9,8 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { findFreePorts } from '../../packages/lab/src/node/freePorts.js';
 import { createRandom } from '../../packages/lab/src/runtime/random.js';
-import { CRASHING_BODY, USED_INSTANCE, UsersServer } from '../platform/usersServer.js';
-import { UsersStore } from '../platform/usersStore.js';
+import { CRASHING_BODY, USED_INSTANCE, FakeServer } from '../platform/fakeServer.js';
+import { FakeStore } from '../platform/fakeStore.js';
 import { configWith, until } from '../platform/world.js';
 import { SoakCallers } from '../soak/soakCallers.js';
 import { SoakCrashes } from '../soak/soakCrashes.js';
@@ -60,7 +60,7 @@
 
   private constructor(
     readonly directory: string,
-    readonly store: UsersStore,
+    readonly store: FakeStore,
     readonly plain: Server[],
     readonly engines: Server[],
     readonly instances: Instance[],
@@ -75,10 +75,8 @@
       },
     };
     const directory = await mkdtemp(join(tmpdir(), 'flamingocourse-compat-'));
-    const store = await new UsersStore().listen(scope);
-    const plain = await Promise.all(
-      ['p1', 'p2'].map((name) => new UsersServer(name).listen(scope)),
-    );
+    const store = await new FakeStore().listen(scope);
+    const plain = await Promise.all(['p1', 'p2'].map((name) => new FakeServer(name).listen(scope)));
     for (const server of plain) {
       store.put('servers', server.id, server.entry('ledger', { slots: 16, born: 1 }));
     }
--- a/test/gateway/fleet/newsFleet.ts
+++ b/test/gateway/fleet/gossipFleet.ts
@@ -8,8 +8,8 @@
 import { MemoryObjectStore } from '@flamingocourse/store';
 import { Result } from 'true-myth';
 import { InstanceDirectory } from '../../../packages/gateway/src/node/instanceDirectory.js';
-import { NewsService } from '../../../packages/gateway/src/node/newsService.js';
-import { NewsCalls } from '../../../packages/gateway/src/types/newsCalls.js';
+import { GossipService } from '../../../packages/gateway/src/node/gossipService.js';
+import { GossipCalls } from '../../../packages/gateway/src/types/gossipCalls.js';
 import { createRandom } from '../../../packages/lab/src/runtime/random.js';
 import { testContext } from '../testContext.js';
 
@@ -20,7 +20,7 @@
 const STEP_MS = 1;
 
 /** Size of a fleet and its message loss. */
-export interface NewsShape {
+export interface GossipFleetShape {
   dataCentres: number;
   instancesPerDataCentre: number;
   /** Fraction of messages and answers that are lost. */
@@ -30,7 +30,7 @@
 
 /** One process of an instance. */
 interface Process {
-  news: NewsService;
+  news: GossipService;
   received: GossipFact[];
   kernel: Kernel;
 }
@@ -67,11 +67,11 @@
 }
 
 /** Delivers one instance's messages to the others in memory. */
-class NewsLink extends NewsCalls {
-  readonly #fleet: NewsFleet;
+class GossipLink extends GossipCalls {
+  readonly #fleet: GossipFleet;
   readonly #from: FleetInstance;
 
-  constructor(fleet: NewsFleet, from: FleetInstance) {
+  constructor(fleet: GossipFleet, from: FleetInstance) {
     super();
     this.#fleet = fleet;
     this.#from = from;
@@ -85,7 +85,7 @@
     this.#fleet.largest = Math.max(this.#fleet.largest, JSON.stringify(message).length);
     await delay(LATENCY_MS);
     if (this.#fleet.loses(this.#from, to)) return this.#giveUp();
-    const answer = this.#fleet.process(to.name).news.hear(structuredClone(message));
+    const answer = this.#fleet.process(to.name).news.handleMessage(structuredClone(message));
     if (this.#fleet.loses(to, this.#from)) return this.#giveUp();
     await delay(LATENCY_MS);
     return Result.ok(structuredClone(answer));
@@ -97,21 +97,21 @@
   }
 }
 
-export class NewsFleet {
+export class GossipFleet {
   readonly clock = new ManualClock();
   readonly log = new MemoryEventLog();
   messages = 0;
   /** Characters of the largest message. */
   largest = 0;
   readonly #t: TestContext;
-  readonly #shape: NewsShape;
+  readonly #shape: GossipFleetShape;
   readonly #random;
   readonly #instances: FleetInstance[];
   readonly #processes = new Map<string, Process>();
   readonly #cut = new Set<string>();
   readonly #unreachable = new Set<string>();
 
-  private constructor(t: TestContext, shape: NewsShape) {
+  private constructor(t: TestContext, shape: GossipFleetShape) {
     this.#t = t;
     this.#shape = shape;
     this.#random = createRandom(shape.seed);
@@ -122,10 +122,10 @@
     });
   }
 
-  static async start(t: TestContext, shape: NewsShape): Promise<NewsFleet> {
+  static async start(t: TestContext, shape: GossipFleetShape): Promise<GossipFleet> {
     t.mock.timers.enable({ apis: ['setTimeout', 'setInterval'] });
     syncBuiltinESMExports();
-    const fleet = new NewsFleet(t, shape);
+    const fleet = new GossipFleet(t, shape);
     for (const { name } of fleet.#instances) await fleet.startProcess(name);
     t.after(async () => {
       await Promise.all([...fleet.#processes.values()].map(({ kernel }) => kernel.stop()));
@@ -144,9 +144,9 @@
     const settings = { ...base.settings, instance: name, dataCentre: instance.dataCentre };
     const context = { ...base, settings, random: () => this.#random.fraction() };
     const incarnation = `${name}/${String(this.clock.now())}`;
-    const news = new NewsService(context, incarnation, new NewsLink(this, instance));
+    const news = new GossipService(context, incarnation, new GossipLink(this, instance));
     const heard: GossipFact[] = [];
-    news.onNews((item) => heard.push(item.news));
+    news.onFact((item) => heard.push(item.news));
     const kernel = new Kernel()
       .register(new FixedInstances(this.#instances, context))
       .register(news);
--- a/test/gateway/news.test.ts
+++ b/test/gateway/gossip.test.ts
@@ -1,8 +1,8 @@
 import type { TestContext } from 'node:test';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { NewsShape } from './fleet/newsFleet.js';
-import { NewsFleet } from './fleet/newsFleet.js';
+import type { GossipFleetShape } from './fleet/gossipFleet.js';
+import { GossipFleet } from './fleet/gossipFleet.js';
 
 /** Milliseconds within which all instances have to receive a fact. */
 const DELIVERY_MS = 3_000;
@@ -13,7 +13,7 @@
 const LARGE = { dataCentres: 6, instancesPerDataCentre: 32, lost: 0, seed: 2 };
 
 // Guards against facts about crashing requests that do not reach the other instances.
-const cases: (NewsShape & { name: string })[] = [
+const cases: (GossipFleetShape & { name: string })[] = [
   { ...SMALL, name: 'a small fleet' },
   { ...SMALL, name: 'a small fleet whose messages get lost', lost: 0.3 },
   { ...LARGE, name: 'a large fleet' },
@@ -21,7 +21,7 @@
 ];
 for (const { name, ...shape } of cases) {
   test(`all instances of ${name} are informed of a server crash in time`, async (t) => {
-    const fleet = await NewsFleet.start(t, shape);
+    const fleet = await GossipFleet.start(t, shape);
     await fleet.advance(500);
     report(fleet, 'edge-0', 's1');
     await fleet.advance(DELIVERY_MS);
@@ -31,7 +31,7 @@
 
 // Guards against instances that, after a partition, still send a request that all others refuse.
 test('after a partition, facts from both sides reach all instances', async (t) => {
-  const fleet = await NewsFleet.start(t, SMALL);
+  const fleet = await GossipFleet.start(t, SMALL);
   await fleet.advance(500);
   fleet.setCut('hall-0', true);
   report(fleet, 'edge-0', 'within');
@@ -45,7 +45,7 @@
 
 // Guards against senders that take a message for received although only its direction of the link fails.
 test('an instance that receives nothing but sends does not keep facts from the others', async (t) => {
-  const fleet = await NewsFleet.start(t, SMALL);
+  const fleet = await GossipFleet.start(t, SMALL);
   await fleet.advance(500);
   fleet.dropMessagesTo('edge-5');
   report(fleet, 'edge-0', 's1');
@@ -56,7 +56,7 @@
 // Guards against peers that confuse a restarted process with its predecessor of the same name, which had
 // received the facts, and therefore send it nothing.
 test('a restarted process receives the facts found before', async (t) => {
-  const fleet = await NewsFleet.start(t, SMALL);
+  const fleet = await GossipFleet.start(t, SMALL);
   await fleet.advance(500);
   report(fleet, 'edge-0', 's1');
   await fleet.advance(DELIVERY_MS);
@@ -67,7 +67,7 @@
 
 // Guards against messages that are too long for the link of a small instance after a thousand crashes.
 test('messages stay short and the latest facts arrive, however many facts are known', async (t) => {
-  const fleet = await NewsFleet.start(t, SMALL);
+  const fleet = await GossipFleet.start(t, SMALL);
   await fleet.advance(500);
   for (let i = 0; i < 1_000; i += 1) report(fleet, `edge-${String(i % 8)}`, `s${String(i)}`, 24);
   await fleet.advance(DELIVERY_MS);
@@ -77,7 +77,7 @@
 
 // Guards against useless messages from each of thousands of machines.
 test('nothing is sent while there are no facts', async (t) => {
-  const fleet = await NewsFleet.start(t, SMALL);
+  const fleet = await GossipFleet.start(t, SMALL);
   await fleet.advance(1_000);
   const before = fleet.messages;
   await fleet.advance(10_000);
@@ -85,7 +85,7 @@
 });
 
 test('messages become rare while there are no new facts', async (t: TestContext) => {
-  const fleet = await NewsFleet.start(t, SMALL);
+  const fleet = await GossipFleet.start(t, SMALL);
   await fleet.advance(500);
   report(fleet, 'edge-0', 's1');
   await fleet.advance(200_000);
@@ -95,7 +95,7 @@
   assert.ok(each <= 5, `${String(each)} of each instance in a minute`);
 });
 
-function report(fleet: NewsFleet, name: string, server: string, requests = 1): void {
+function report(fleet: GossipFleet, name: string, server: string, requests = 1): void {
   const inFlight = Array.from({ length: requests }, (_, i) => `${server}-${String(i)}`.padEnd(28));
   fleet.process(name).news.publish({ type: 'crashed', server, inFlight });
 }
--- a/test/gateway/keptCauses.test.ts
+++ b/test/gateway/storedCrashCauses.test.ts
@@ -6,14 +6,14 @@
 import { MemoryObjectStore } from '@flamingocourse/store';
 import { Result } from 'true-myth';
 import { z } from 'zod';
-import { KeptCauses } from '../../packages/gateway/src/node/keptCauses.js';
-import { NewsService } from '../../packages/gateway/src/node/newsService.js';
+import { StoredCrashCauses } from '../../packages/gateway/src/node/storedCrashCauses.js';
+import { GossipService } from '../../packages/gateway/src/node/gossipService.js';
 import { SharedQuarantine } from '../../packages/gateway/src/node/sharedQuarantine.js';
-import { NewsCalls } from '../../packages/gateway/src/types/newsCalls.js';
+import { GossipCalls } from '../../packages/gateway/src/types/gossipCalls.js';
 import { testContext } from './testContext.js';
 
 /** Reaches no peer. */
-class NoCalls extends NewsCalls {
+class NoCalls extends GossipCalls {
   override exchange(): Promise<Result<GossipMessage, string>> {
     return Promise.resolve(Result.err('connection refused'));
   }
@@ -24,7 +24,7 @@
 
 /** Starts a process on a store that may already contain causes. */
 async function start(t: TestContext, store: MemoryObjectStore): Promise<World> {
-  const causes = new KeptCauses(testContext(new ManualClock(), new MemoryEventLog(), store));
+  const causes = new StoredCrashCauses(testContext(new ManualClock(), new MemoryEventLog(), store));
   const found: ProvenCrashCause[] = [];
   causes.onCause((each) => found.push(each));
   t.after(() => {
@@ -36,7 +36,7 @@
 }
 
 interface World {
-  causes: KeptCauses;
+  causes: StoredCrashCauses;
   found: ProvenCrashCause[];
 }
 
@@ -78,7 +78,7 @@
   const store = new MemoryObjectStore();
   const context = testContext(new ManualClock(), new MemoryEventLog(), store);
   const { causes } = await start(t, store);
-  const gossip = new NewsService(context, 'life-1', new NoCalls());
+  const gossip = new GossipService(context, 'life-1', new NoCalls());
   new SharedQuarantine(context, gossip, causes).onNews(() => undefined);
   causes.save(cause);
   await settle();
@@ -89,7 +89,7 @@
     ageMs: 3,
     news: { type: 'finished', fingerprint },
   } as const;
-  gossip.hear({ from: 'edge-2', known: {}, items: [finished] });
+  gossip.handleMessage({ from: 'edge-2', known: {}, items: [finished] });
   await settle();
   gossip.stop();
   assert.deepEqual(await names(store), []);
--- a/test/kernel/timeLimit.test.ts
+++ b/test/kernel/timeLimit.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { ServerAgent, openAttempt } from '@flamingocourse/gateway';
 import { exchange, startTimeLimit } from '@flamingocourse/kernel';
-import { holdUp } from '../platform/holdUp.js';
+import { blockEventLoop } from '../platform/blockEventLoop.js';
 
 const LIMIT_MS = 100;
 const HELD_UP_MS = 250;
@@ -19,11 +19,11 @@
   const server = createServer((req, res) => {
     req.resume();
     res.end('{}');
-    if (heldUpAt === 'answer') holdUp(HELD_UP_MS);
+    if (heldUpAt === 'answer') blockEventLoop(HELD_UP_MS);
   });
   if (heldUpAt === 'connection')
     server.on('connection', () => {
-      holdUp(HELD_UP_MS);
+      blockEventLoop(HELD_UP_MS);
     });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   t.after(() => {
--- a/test/platform/arrivals.test.ts
+++ b/test/platform/arrivals.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { holdUp } from './holdUp.js';
+import { blockEventLoop } from './blockEventLoop.js';
 import { World, until } from './world.js';
 
 /** Timeout of the routes in milliseconds. */
@@ -12,7 +12,7 @@
 test('a request that waited unread logs an upper bound of the wait', async (t) => {
   const world = await World.start(t);
   const callers = Array.from({ length: 5 }, () => world.call({ path: '/look/1', method: 'GET' }));
-  holdUp(600);
+  blockEventLoop(600);
   await Promise.all(callers);
   const unread = world.log.events
     .filter(({ event }) => event === 'request-ended')
@@ -33,7 +33,7 @@
   const answers = [1, 2].map((n) => {
     return world.call({ path: `/book/${String(n)}`, headers: { 'x-deadline-ms': '4000' } });
   });
-  holdUp(1_000);
+  blockEventLoop(1_000);
   for (const answer of await Promise.all(answers)) assert.equal(answer.status, 504);
   const tookMs = performance.now() - sentAt;
   assert.ok(tookMs >= ROUTE_MS - SLACK_MS && tookMs < ROUTE_MS + SLACK_MS, `${String(tookMs)} ms`);
@@ -44,7 +44,7 @@
   const world = await World.start(t);
   for (const server of world.servers)
     server.afterAnswer = () => {
-      holdUp(600);
+      blockEventLoop(600);
     };
   assert.equal((await world.call({ path: '/book/1' })).status, 200);
   assert.equal(world.events.includes('server-silent'), false);
@@ -55,7 +55,7 @@
   const world = await World.start(t);
   for (const server of world.servers)
     server.afterAnswer = () => {
-      holdUp(400);
+      blockEventLoop(400);
     };
   const answer = await world.call({ path: '/book/1', headers: { 'x-deadline-ms': '300' } });
   assert.equal(answer.status, 200);
--- a/test/platform/holdUp.ts
+++ b/test/platform/blockEventLoop.ts
@@ -1,5 +1,5 @@
 /** Blocks the event loop for a time, like a process that gets no CPU time. */
-export function holdUp(ms: number): void {
+export function blockEventLoop(ms: number): void {
   const end = performance.now() + ms;
   while (performance.now() < end);
 }
--- a/test/platform/crashingRequest.test.ts
+++ b/test/platform/crashingRequest.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { setTimeout as delay } from 'node:timers/promises';
-import type { CrashMoment } from './usersServer.js';
-import { CRASHING_BODY, UsersServer } from './usersServer.js';
+import type { CrashMoment } from './fakeServer.js';
+import { CRASHING_BODY, FakeServer } from './fakeServer.js';
 import { World, until } from './world.js';
 
 const INSTANCES = 6;
@@ -117,7 +117,7 @@
   const first = await World.start(t, undefined, { mesh: true });
   for (const kind of ['p', 'e']) {
     for (let i = 3; i <= SERVERS; i += 1) {
-      const server = await new UsersServer(`${kind}${String(i)}`).listen(t);
+      const server = await new FakeServer(`${kind}${String(i)}`).listen(t);
       first.servers.push(server);
     }
   }
@@ -132,7 +132,7 @@
 }
 
 /** Adds a server to the list, and adds it again under its new id after each crash. */
-function restartUnder({ store }: World, server: UsersServer, moment: CrashMoment): void {
+function restartUnder({ store }: World, server: FakeServer, moment: CrashMoment): void {
   const service = server.name.startsWith('p') ? 'ledger' : 'llm';
   let listed = server.id;
   server.behaviour = service === 'llm' ? 'stream' : 'answer';
--- a/test/platform/usersServer.ts
+++ b/test/platform/fakeServer.ts
@@ -51,7 +51,7 @@
 const HEALTH_PATH = '/health';
 
 /** A pause that a server requested from an instance, in monotonic clock time. */
-export interface Rest {
+export interface RequestedPauseWindow {
   server: string;
   /** Instance that received the request for the pause, from the header that the soak's callers send. */
   instance: string;
@@ -62,13 +62,13 @@
 /** Header with which the soak's callers name the instance that they use. */
 export const USED_INSTANCE = 'x-used-instance';
 
-export class UsersServer {
+export class FakeServer {
   readonly seen: SeenRequest[] = [];
-  readonly rests: Rest[] = [];
+  readonly pauses: RequestedPauseWindow[] = [];
   /** Requests whose connection was closed before they were answered. */
   dropped = 0;
   /** Number of health probes. */
-  asked = 0;
+  healthProbes = 0;
   behaviour: Behaviour = 'answer';
   /** Rate limit in requests per second that each answer reports. */
   rateLimit: string | undefined;
@@ -161,7 +161,7 @@
     if (this.rateLimit !== undefined) res.setHeader('server-limit', this.rateLimit);
     if (this.saysLeaving) res.setHeader('server-leaving', '1');
     if (url === HEALTH_PATH) {
-      this.asked += 1;
+      this.healthProbes += 1;
       res.writeHead(this.leaving ? 503 : 200, { 'x-instance-id': this.id }).end();
       return;
     }
@@ -195,7 +195,7 @@
     const instance = String(headers[USED_INSTANCE]);
     const from = performance.now();
     const until = from + Number(rest) * MS_PER_SECOND;
-    this.rests.push({ server: this.id, instance, from, until });
+    this.pauses.push({ server: this.id, instance, from, until });
   }
 
   /** Headers that identify the request and the server of an answer. */
--- a/test/platform/usersStore.ts
+++ b/test/platform/fakeStore.ts
@@ -21,7 +21,7 @@
 /** Fault that the store currently simulates. */
 export type StoreFault = 'none' | 'silent' | 'down' | 'history-gone';
 
-export class UsersStore {
+export class FakeStore {
   fault: StoreFault = 'none';
   /** Object kind of each call so far. */
   readonly calls: string[] = [];
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { event } from './usersServer.js';
+import { event } from './fakeServer.js';
 import { World, configWith, until } from './world.js';
 
 const wholeStream = [1, 2, 3, 4].map(event).join('');
--- a/test/platform/world.ts
+++ b/test/platform/world.ts
@@ -12,8 +12,8 @@
 import { MemoryEventLog, MonotonicClock } from '@flamingocourse/kernel';
 import { createPlatformDialects } from '@flamingocourse/platform-adapter';
 import { findFreePorts } from '../../packages/lab/src/node/freePorts.js';
-import { UsersServer } from './usersServer.js';
-import { UsersStore } from './usersStore.js';
+import { FakeServer } from './fakeServer.js';
+import { FakeStore } from './fakeStore.js';
 
 export const HOST = 'shop.example';
 export const KEY = 'key-of-kirk';
@@ -103,8 +103,8 @@
 
   private constructor(
     readonly instance: string,
-    readonly store: UsersStore,
-    readonly servers: UsersServer[],
+    readonly store: FakeStore,
+    readonly servers: FakeServer[],
   ) {}
 
   /** Starts store, servers (two plain, two engines) and gateway, and waits until it is ready. */
@@ -113,9 +113,9 @@
     config = configWith(),
     change: SettingsChange = {},
   ): Promise<World> {
-    const store = await new UsersStore().listen(t);
+    const store = await new FakeStore().listen(t);
     const servers = await Promise.all(
-      ['p1', 'p2', 'e1', 'e2'].map((id) => new UsersServer(id).listen(t)),
+      ['p1', 'p2', 'e1', 'e2'].map((id) => new FakeServer(id).listen(t)),
     );
     for (const server of servers) {
       store.put('servers', server.id, server.entry(server.id.startsWith('p') ? 'ledger' : 'llm'));
@@ -143,14 +143,14 @@
     );
   }
 
-  server(id: string): UsersServer {
+  server(id: string): FakeServer {
     const found = this.servers.find((server) => server.id === id);
     if (!found) throw new RangeError(`no server ${id}`);
     return found;
   }
 
   /** Requests that reached the plain servers (`p`) or the engines (`e`). */
-  seen(kind: 'p' | 'e'): UsersServer['seen'] {
+  seen(kind: 'p' | 'e'): FakeServer['seen'] {
     return this.servers.filter(({ id }) => id.startsWith(kind)).flatMap((server) => server.seen);
   }
 
@@ -159,7 +159,7 @@
     return this.log.events.map(({ event }) => event);
   }
 
-  behave(kind: 'p' | 'e', behaviour: UsersServer['behaviour']): void {
+  behave(kind: 'p' | 'e', behaviour: FakeServer['behaviour']): void {
     for (const server of this.servers) if (server.id.startsWith(kind)) server.behaviour = behaviour;
   }
 
--- a/test/soak/runSoak.ts
+++ b/test/soak/runSoak.ts
@@ -2,7 +2,7 @@
 
 import type { Link } from '../../packages/lab/src/node/link/index.js';
 import type { Random } from '../../packages/lab/src/runtime/random.js';
-import type { Behaviour, Rest } from '../platform/usersServer.js';
+import type { Behaviour, RequestedPauseWindow } from '../platform/fakeServer.js';
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -10,8 +10,8 @@
 import { findFreePorts } from '../../packages/lab/src/node/freePorts.js';
 import { createLink } from '../../packages/lab/src/node/link/index.js';
 import { createRandom } from '../../packages/lab/src/runtime/random.js';
-import { UsersServer } from '../platform/usersServer.js';
-import { UsersStore } from '../platform/usersStore.js';
+import { FakeServer } from '../platform/fakeServer.js';
+import { FakeStore } from '../platform/fakeStore.js';
 import { configWith, until } from '../platform/world.js';
 import { SoakCallers } from './soakCallers.js';
 import { SoakCrashes } from './soakCrashes.js';
@@ -83,8 +83,8 @@
   private constructor(
     readonly random: Random,
     readonly directory: string,
-    readonly store: UsersStore,
-    readonly servers: UsersServer[],
+    readonly store: FakeStore,
+    readonly servers: FakeServer[],
     readonly links: { store: Link[]; servers: Link[] },
     readonly instances: SoakProcess[],
     readonly callers: SoakCallers,
@@ -105,10 +105,10 @@
       },
     };
     const directory = await mkdtemp(join(tmpdir(), 'flamingocourse-soak-'));
-    const store = await new UsersStore().listen(scope);
+    const store = await new FakeStore().listen(scope);
     const engines = hasCrashes ? await SoakCrashes.startEngines(store, scope) : [];
     const names = hasCrashes ? ['p1', 'p2'] : ['p1', 'p2', 'e1', 'e2'];
-    const linked = await Promise.all(names.map((name) => new UsersServer(name).listen(scope)));
+    const linked = await Promise.all(names.map((name) => new FakeServer(name).listen(scope)));
     const servers = [...linked, ...engines];
     const links = {
       servers: await Promise.all(linked.map((server) => list(server, store))),
@@ -186,8 +186,8 @@
     };
   }
 
-  #undisturbedRests(): Rest[] {
-    return this.servers.flatMap(({ rests }) => {
+  #undisturbedRests(): RequestedPauseWindow[] {
+    return this.servers.flatMap(({ pauses: rests }) => {
       return rests.filter(({ instance, from, until }) => {
         const { disturbedAt = [] } = this.instances.find(({ name }) => name === instance) ?? {};
         return !disturbedAt.some((at) => at > from && at < until);
@@ -378,7 +378,7 @@
 }
 
 /** Lists a server in the store, at the near end of a link to it. */
-async function list(server: UsersServer, store: UsersStore): Promise<Link> {
+async function list(server: FakeServer, store: FakeStore): Promise<Link> {
   const [link] = await linksTo(`http://${server.address}`, 1);
   if (!link) throw new RangeError('no link was made');
   const isEngine = server.id.startsWith('e');
--- a/test/soak/soakCallers.ts
+++ b/test/soak/soakCallers.ts
@@ -3,7 +3,7 @@
 import type { Random } from '../../packages/lab/src/runtime/random.js';
 import type { SoakProcess } from './soakProcess.js';
 import { Agent, request } from 'node:http';
-import { USED_INSTANCE } from '../platform/usersServer.js';
+import { USED_INSTANCE } from '../platform/fakeServer.js';
 import { HOST } from '../platform/world.js';
 
 export type CallKind = 'look' | 'book' | 'chat' | 'draft';
--- a/test/soak/soakCrashes.ts
+++ b/test/soak/soakCrashes.ts
@@ -2,10 +2,10 @@
 
 import type { TestContext } from 'node:test';
 import type { Random } from '../../packages/lab/src/runtime/random.js';
-import type { UsersStore } from '../platform/usersStore.js';
+import type { FakeStore } from '../platform/fakeStore.js';
 import type { SoakProcess } from './soakProcess.js';
 import { request } from 'node:http';
-import { CRASHING_BODY, UsersServer } from '../platform/usersServer.js';
+import { CRASHING_BODY, FakeServer } from '../platform/fakeServer.js';
 import { HOST } from '../platform/world.js';
 
 const ENGINES = 6;
@@ -20,7 +20,7 @@
   #wasProven = false;
 
   constructor(
-    readonly engines: UsersServer[],
+    readonly engines: FakeServer[],
     readonly instances: SoakProcess[],
     readonly account: string,
     readonly random: Random,
@@ -28,11 +28,11 @@
 
   /** Starts engines that the store lists at their own address: behind a link they would never refuse a connection. */
   static async startEngines(
-    store: UsersStore,
+    store: FakeStore,
     scope: Pick<TestContext, 'after'>,
-  ): Promise<UsersServer[]> {
+  ): Promise<FakeServer[]> {
     const names = Array.from({ length: ENGINES }, (_, i) => `e${String(i + 1)}`);
-    const engines = await Promise.all(names.map((name) => new UsersServer(name).listen(scope)));
+    const engines = await Promise.all(names.map((name) => new FakeServer(name).listen(scope)));
     for (const engine of engines) listAgainAfterCrashes(engine, store);
     return engines;
   }
@@ -83,7 +83,7 @@
   }
 }
 
-function listAgainAfterCrashes(engine: UsersServer, store: UsersStore): void {
+function listAgainAfterCrashes(engine: FakeServer, store: FakeStore): void {
   let listed = engine.id;
   const list = (): void => {
     store.put('servers', engine.id, engine.entry('llm', { slots: 16, born: engine.crashed + 1 }));
--- a/test/soak/soakPromises.ts
+++ b/test/soak/soakPromises.ts
@@ -1,8 +1,8 @@
 /** What callers and servers must have seen, whatever failed. */
 
-import type { Rest, SeenRequest } from '../platform/usersServer.js';
+import type { RequestedPauseWindow, SeenRequest } from '../platform/fakeServer.js';
 import type { SeenAnswer } from './soakCallers.js';
-import { USED_INSTANCE, event } from '../platform/usersServer.js';
+import { USED_INSTANCE, event } from '../platform/fakeServer.js';
 
 /** Tokens in one event of the stand-ins' streams. */
 export const TOKENS_PER_EVENT = 3;
@@ -20,7 +20,7 @@
   /** What reached each server, by its id. */
   arrivalsOf: ReadonlyMap<string, readonly SeenRequest[]>;
   /** Rests that servers asked for, without those in which the instance was disturbed. */
-  rests: readonly Rest[];
+  rests: readonly RequestedPauseWindow[];
   /** The highest limit that each account ever had. */
   limits: ReadonlyMap<string, number>;
 }
