--- a/packages/lab/src/node/capacity/ledgerCosts.ts
+++ b/packages/lab/src/node/capacity/ledgerCosts.ts
@@ -82,13 +82,13 @@
     state,
     shortfalls: new Map(),
     policy: createSlicePolicy('avoid-overspend'),
-    demand: () => 1,
+    demandPerSecond: () => 1,
     rideThroughSeconds: 600,
     dataCentres,
     now: NOW,
     refills: true,
-    yields: () => false,
-    levels: new Map(),
+    isRefillPaused: () => false,
+    targets: new Map(),
   });
   return JSON.parse(JSON.stringify(planned));
 }
--- a/packages/router/src/node/entry/executor.ts
+++ b/packages/router/src/node/entry/executor.ts
@@ -274,7 +274,7 @@
     } catch (err) {
       this.#options.onFailure(err);
     }
-    this.#options.money.giveUpClaim(keyDigest, bodyDigest, ticket);
+    this.#options.money.releaseClaim(keyDigest, bodyDigest, ticket);
   }
 
   #createWork(request: CallerRequest): Work {
--- a/packages/router/src/node/money/holderSession.ts
+++ b/packages/router/src/node/money/holderSession.ts
@@ -11,11 +11,11 @@
   Tokens,
 } from '@flamingocourse/core';
 import type { WitnessStore } from './witnessStore.js';
-import type { AppendFault, JournalWriter, LineTransport } from './lineRoutes.js';
+import type { AppendFault, JournalWriter, LineTransport } from './lineTransport.js';
 import { Spender, pool, registerHolder } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 import { delay, withTimeout } from './timing.js';
-import { DemandTracker } from './demandBook.js';
+import { DemandTracker } from './demandTracker.js';
 import { LineLog } from './lineLog.js';
 
 /**
--- a/packages/router/src/node/money/ledgerPlan.ts
+++ b/packages/router/src/node/money/ledgerPlan.ts
@@ -29,7 +29,7 @@
   shortfalls: Map<AccountId, Tokens>;
   policy: SlicePolicy;
   /** Demand of this data centre for an account, in tokens per second. */
-  demand: (account: AccountId) => number;
+  demandPerSecond: (account: AccountId) => number;
   rideThroughSeconds: number;
   dataCentres: number;
   now: EpochMs;
@@ -38,9 +38,9 @@
    */
   refills: boolean;
   /** Whether refills of an account are paused so that another data centre gets its tokens. */
-  yields: (account: AccountId) => boolean;
+  isRefillPaused: (account: AccountId) => boolean;
   /** Filled in by the plan: unspent tokens that the data centre should hold, by account. */
-  levels: Map<AccountId, Tokens>;
+  targets: Map<AccountId, Tokens>;
 }
 
 /** Fraction of the target below which tokens are granted. Avoids a write for each small spend. */
@@ -79,16 +79,16 @@
   const held = share.grantedIn - share.returnedOut - share.spent;
   const shortfall = (input.shortfalls.get(account) ?? 0) - pool(state, account);
   const target = policy.grantTarget({
-    demandPerSecond: input.demand(account),
+    demandPerSecond: input.demandPerSecond(account),
     rideThroughSeconds: input.rideThroughSeconds,
     remaining: remainingOf(entry),
     dataCentres: input.dataCentres,
     shortfall: 0,
   });
   // Tokens for waiting requests are no surplus, although they exceed the target.
-  input.levels.set(account, Math.max(target, input.shortfalls.get(account) ?? 0));
+  input.targets.set(account, Math.max(target, input.shortfalls.get(account) ?? 0));
   // No pause is needed while the ledger can still grant the target to every data centre.
-  const isPaused = input.yields(account) && ungranted(entry) < target * input.dataCentres;
+  const isPaused = input.isRefillPaused(account) && ungranted(entry) < target * input.dataCentres;
   const isLow = held < target * REFILL_BELOW_FRACTION && !isPaused;
   const wanted = Math.max(isLow ? target - held : 0, shortfall);
   return wanted > 0 ? grant(page, account, state.dataCentre, wanted) : page;
--- a/packages/router/src/node/money/treasurer.ts
+++ b/packages/router/src/node/money/ledgerSync.ts
@@ -18,7 +18,7 @@
 import type { Clock } from '@flamingocourse/kernel';
 import type { Configuration } from '../../types/configuration.js';
 import type { Fleet } from '../../types/fleet.js';
-import type { JournalWriter } from './lineRoutes.js';
+import type { JournalWriter } from './lineTransport.js';
 import type { MoneyPeers, ObjectStore } from '../../types/moneyPorts.js';
 import {
   checkLedgerInvariant,
@@ -31,7 +31,7 @@
 } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 import { GroupWriter } from './groupWriter.js';
-import { DemandTracker } from './demandBook.js';
+import { DemandTracker } from './demandTracker.js';
 import type { LedgerPlanInput } from './ledgerPlan.js';
 import { planPage } from './ledgerPlan.js';
 
@@ -184,7 +184,7 @@
     const ledger = written.value.state;
     this.#publishBudgets(ledger);
     await this.#copyGrants(ledger);
-    if (refills) await this.#returnSurplus(ledger, input.levels);
+    if (refills) await this.#returnSurplus(ledger, input.targets);
     return ledger;
   }
 
@@ -198,14 +198,14 @@
       state,
       shortfalls,
       policy: policy(),
-      demand: (account) => this.#demand.rate(account, clock.now()),
+      demandPerSecond: (account) => this.#demand.rate(account, clock.now()),
       rideThroughSeconds: configuration.deployment.rideThroughSeconds,
       dataCentres: new Set(members.map((member) => member.dataCentre)).size,
       now: clock.now(),
       // Without the pause, this data centre would refill before the one that asked gets the tokens.
-      yields: (account) =>
+      isRefillPaused: (account) =>
         clock.now() - (this.#refillPausedAt.get(account) ?? -Infinity) < REFILL_PAUSE_MS,
-      levels: new Map<AccountId, Tokens>(),
+      targets: new Map<AccountId, Tokens>(),
     };
   }
 
--- a/packages/router/src/node/money/lineLog.ts
+++ b/packages/router/src/node/money/lineLog.ts
@@ -4,7 +4,7 @@
  * then.
  */
 
-import type { AppendFault, LineTransport } from './lineRoutes.js';
+import type { AppendFault, LineTransport } from './lineTransport.js';
 import type { AppendAnswer } from '../../types/moneyPorts.js';
 import type { JournalChange, Spender } from '@flamingocourse/core';
 import type { Steps } from '@flamingocourse/kernel';
--- a/packages/router/src/node/money/moneyParts.ts
+++ b/packages/router/src/node/money/moneyParts.ts
@@ -12,16 +12,16 @@
 import type { Fleet } from '../../types/fleet.js';
 import type { MoneyPeers, ObjectStore } from '../../types/moneyPorts.js';
 import type { RouterContext } from '../../types/routerContext.js';
-import type { JournalWriter } from './lineRoutes.js';
+import type { JournalWriter } from './lineTransport.js';
 import type { VersionedState } from './groupWriter.js';
 import { checkInvariant, createJournal, createSlicePolicy, pool } from '@flamingocourse/core';
-import { ClaimStore } from './claimKeeper.js';
+import { ClaimStore } from './claimStore.js';
 import { GroupWriter } from './groupWriter.js';
-import { LineTransport } from './lineRoutes.js';
+import { LineTransport } from './lineTransport.js';
 import { ProvisionalSettler } from './provisionalSettler.js';
 import { Sealer } from './sealer.js';
 import { TicketResolver } from './ticketResolver.js';
-import { LedgerSync } from './treasurer.js';
+import { LedgerSync } from './ledgerSync.js';
 import { WitnessStore } from './witnessStore.js';
 
 /** Options of {@link createMoneyParts}. */
--- a/packages/router/src/node/money/moneyService.ts
+++ b/packages/router/src/node/money/moneyService.ts
@@ -38,7 +38,7 @@
 import { Money } from '../../types/money.js';
 import { billChanges } from './billLines.js';
 import { HolderSession } from './holderSession.js';
-import { SelfSealer } from './ownEndings.js';
+import { SelfSealer } from './selfSealer.js';
 import { createMoneyParts } from './moneyParts.js';
 import {
   refuseNotReady,
@@ -227,7 +227,7 @@
     return this.#parts.claims.claim(keyDigest, bodyDigest, ticket);
   }
 
-  override giveUpClaim(keyDigest: string, bodyDigest: string, ticket: TicketId): void {
+  override releaseClaim(keyDigest: string, bodyDigest: string, ticket: TicketId): void {
     this.#parts?.claims.release(keyDigest, bodyDigest, ticket);
   }
 
--- a/packages/router/src/node/money/provisionalSettler.ts
+++ b/packages/router/src/node/money/provisionalSettler.ts
@@ -12,8 +12,8 @@
 import type { Bill, EpochMs, ProvisionalVerdict, TicketId } from '@flamingocourse/core';
 import type { EventLog } from '@flamingocourse/kernel';
 import type { Fleet } from '../../types/fleet.js';
-import type { ClaimStore } from './claimKeeper.js';
-import type { JournalWriter } from './lineRoutes.js';
+import type { ClaimStore } from './claimStore.js';
+import type { JournalWriter } from './lineTransport.js';
 import type { TicketProgress, TicketResolver } from './ticketResolver.js';
 import { settleProvisional, ticketName } from '@flamingocourse/core';
 import { Result } from 'true-myth';
--- a/packages/router/src/node/money/sealer.ts
+++ b/packages/router/src/node/money/sealer.ts
@@ -9,7 +9,7 @@
 } from '@flamingocourse/core';
 import type { EventLog } from '@flamingocourse/kernel';
 import type { Fleet } from '../../types/fleet.js';
-import type { JournalWriter } from './lineRoutes.js';
+import type { JournalWriter } from './lineTransport.js';
 import type { MoneyPeers } from '../../types/moneyPorts.js';
 import type { WitnessStore } from './witnessStore.js';
 import { currentIncarnationOf, finishSeal, startSeal } from '@flamingocourse/core';
--- a/packages/router/src/node/money/segmentRoller.ts
+++ b/packages/router/src/node/money/segmentRoller.ts
@@ -4,7 +4,7 @@
 
 import type { EventLog } from '@flamingocourse/kernel';
 import type { BillSegment } from '@flamingocourse/core';
-import type { JournalWriter } from './lineRoutes.js';
+import type { JournalWriter } from './lineTransport.js';
 import type { ObjectStore } from '../../types/moneyPorts.js';
 import { currentSegment, pruneHolders, rollSegment } from '@flamingocourse/core';
 import { Result } from 'true-myth';
--- a/packages/router/src/node/money/ownEndings.ts
+++ b/packages/router/src/node/money/selfSealer.ts
@@ -9,7 +9,7 @@
  */
 
 import type { IncarnationId, JournalLine } from '@flamingocourse/core';
-import type { JournalWriter } from './lineRoutes.js';
+import type { JournalWriter } from './lineTransport.js';
 import { finishSeal } from '@flamingocourse/core';
 
 interface UnfinishedSeal {
--- a/packages/router/src/node/money/witnessStore.ts
+++ b/packages/router/src/node/money/witnessStore.ts
@@ -1,7 +1,7 @@
 /** Journal lines of other holders that this router stores until they are in the journal. */
 
 import type { IncarnationId, JournalLine, JournalState } from '@flamingocourse/core';
-import type { JournalWriter } from './lineRoutes.js';
+import type { JournalWriter } from './lineTransport.js';
 import type { PeerFault } from '../../types/moneyPorts.js';
 import {
   applyLines,
--- a/packages/router/src/types/money.ts
+++ b/packages/router/src/types/money.ts
@@ -124,7 +124,7 @@
    * Releases a claim that a ticket may have on a key. The ticket has ended and will not be billed,
    * so another request with the same key may be. Repeats the write until the platform accepts it.
    */
-  abstract giveUpClaim(keyDigest: string, bodyDigest: string, ticket: TicketId): void;
+  abstract releaseClaim(keyDigest: string, bodyDigest: string, ticket: TicketId): void;
 
   /** Looks up the outcome of a ticket that another incarnation issued. */
   abstract resolveTicket(ticket: TicketId): Promise<TicketResolution>;
