--- a/packages/router/src/node/money/moneyRefusals.ts
+++ b/packages/router/src/node/money/moneyRefusals.ts
@@ -15,7 +15,7 @@
   return {
     reason: 'not-ready',
     run: 'not-run',
-    detail: 'This router cannot spend from budgets at the moment; try again.',
+    detail: 'This router holds no rights to budgets at the moment; try again.',
     retryAfterMs: RETRY_SOON_MS,
   };
 }
@@ -46,8 +46,7 @@
     return {
       reason: 'class-share-exhausted',
       run: 'not-run',
-      detail:
-        'The work class has used up its share of the budget; raise the share or top up the budget.',
+      detail: 'The class of work has drawn its share of the budget; raise the share or top up.',
       retryAfterMs: RETRY_BUDGET_MS,
     };
   }
