--- a/packages/router/src/node/backends/backendService.ts
+++ b/packages/router/src/node/backends/backendService.ts
@@ -1,4 +1,4 @@
-/** Keeps a lane for each declared service, fed by the instance list and by load reports. */
+/** Maintains one lane per declared service, using the instance list and load reports. */
 
 import type { BackendServer, Refusal, ServiceDeclaration } from '@flamingocourse/core';
 import type { Kernel } from '@flamingocourse/kernel';
@@ -19,33 +19,33 @@
 const PUMP_INTERVAL_MS = 20;
 const UNKNOWN_SERVICE_RETRY_MS = 1_000;
 
-/** What placement is created with. */
+/** Options of {@link BackendService}. */
 export interface BackendServiceOptions {
   context: RouterContext;
   instances: InstanceSource;
   quarantine: QuarantineExchange;
   drains: DrainSource;
-  /** Numbers from 0 to 1 for the choice of servers; seeded in tests. */
+  /** Returns numbers from 0 to 1 for the choice of servers; seeded in tests. */
   random: () => number;
 }
 
-interface Lane {
+interface DeclaredLane {
   declaration: ServiceDeclaration;
   lane: ServiceLane;
 }
 
-/** Implements {@link Backends} on the pure decisions of core. */
+/** Implements {@link Backends} with the decision functions of core. */
 export class BackendService extends Backends {
   override readonly dependsOn = ['configuration', 'fleet', 'drains'];
 
   readonly #options: BackendServiceOptions;
-  readonly #lanes = new Map<string, Lane>();
+  readonly #lanes = new Map<string, DeclaredLane>();
   readonly #register: QuarantineRegister;
   #configuration!: Configuration;
   #fleet!: Fleet;
   #drained = new Set<string>();
   #running = false;
-  #endWatch: (() => void) | undefined;
+  #unsubscribe: (() => void) | undefined;
 
   constructor(options: BackendServiceOptions) {
     super();
@@ -58,7 +58,7 @@
     this.#configuration = kernel.get('configuration', Configuration);
     this.#fleet = kernel.get('fleet', Fleet);
     this.#running = true;
-    this.#endWatch = this.#configuration.onChange(() => {
+    this.#unsubscribe = this.#configuration.onChange(() => {
       this.#syncLanes();
     });
     this.#syncLanes();
@@ -78,7 +78,7 @@
 
   override stop(): void {
     this.#running = false;
-    this.#endWatch?.();
+    this.#unsubscribe?.();
     for (const { lane } of this.#lanes.values()) lane.clear();
   }
 
@@ -95,7 +95,7 @@
     return this.#lanes.get(service)?.lane.mayRetry() ?? false;
   }
 
-  /** Requests waiting for a place, over all services. */
+  /** Number of requests that wait for a place, over all services. */
   get waiting(): number {
     return [...this.#lanes.values()].reduce((sum, { lane }) => sum + lane.waiting, 0);
   }
--- a/packages/router/src/node/backends/drainRelay.ts
+++ b/packages/router/src/node/backends/drainRelay.ts
@@ -1,9 +1,10 @@
 /**
- * Operators' drains of backend servers, from the platform's `orders`.
+ * Reads operators' drains of backend servers from the platform's `orders` collection.
  *
- * One router of each data centre reads the orders and tells its peers, so that the platform's calls
- * follow data centres. While the platform is out the last known orders stay in force: a drained
- * server must not get work again because its order cannot be read.
+ * One router of each data centre reads the orders and sends the drains to its peers, so that the
+ * number of platform calls grows with the data centres and not with the routers. While the platform
+ * is unreachable, the last known drains stay in force: a drained server must not get work again
+ * because its order cannot be read.
  */
 
 import type { Kernel, Steps } from '@flamingocourse/kernel';
@@ -20,10 +21,10 @@
 const orderSchema = z.looseObject({ type: z.string() });
 const orders: Collection<z.infer<typeof orderSchema>> = { name: 'orders', schema: orderSchema };
 
-/** A backend server that operators want to get no new work. */
+/** A backend server that must not get new work, by order of an operator. */
 export type Drain = z.infer<typeof drainSchema>;
 
-/** Registered as `drains`. */
+/** Distributes drains within the data centre. The service is registered as `drains`. */
 export class DrainRelay extends Service {
   override readonly name = 'drains';
   override readonly dependsOn = ['fleet'];
@@ -60,7 +61,7 @@
     this.#stopped.close();
   }
 
-  /** Calls back with all drains in force, at once and after each reading. */
+  /** Calls the listener with all drains in force, immediately and after each read. */
   onDrains(listener: (drains: Drain[]) => void): void {
     this.#listeners.push(listener);
     listener(this.#drains);
--- a/packages/router/src/node/backends/engineAttempt.ts
+++ b/packages/router/src/node/backends/engineAttempt.ts
@@ -1,9 +1,9 @@
 /**
  * One attempt of a model call on one engine.
  *
- * Each attempt has its own nonce and its own connection. Output that carries another nonce is
- * dropped, and the connection of an attempt that is given up is destroyed, never reused, so nothing
- * of an abandoned attempt can reach a caller.
+ * Each attempt has its own nonce and its own connection. Output with another nonce is dropped, and
+ * the connection of an abandoned attempt is destroyed instead of reused. So no output of an abandoned
+ * attempt can reach a caller.
  */
 
 import type { EventSourceMessage } from 'eventsource-parser';
@@ -45,15 +45,15 @@
   | { type: 'timed-out' }
   | { type: 'cancelled' };
 
-/** What an attempt needs. */
+/** Parameters of one attempt. */
 export interface EngineAttempt {
   url: string;
   nonce: string;
-  /** Complete body of the call, as JSON text. */
+  /** Complete body of the call as JSON text. */
   body: string;
-  /** Most text chunks to take; the attempt ends with `length` after that. */
+  /** Most text chunks to accept; after that the attempt ends with finish reason `length`. */
   maxChunks: number;
-  /** Longest silence before the attempt counts as timed out, in milliseconds. */
+  /** Longest time without data before the attempt times out, in milliseconds. */
   stallMs: number;
   signal: AbortSignal;
   onText(text: string): void;
@@ -62,7 +62,7 @@
 const agent = new Agent({ keepAlive: true, maxSockets: 512, scheduling: 'lifo' });
 
 /**
- * Runs the attempt to its end. Never throws: every failure is an {@link EngineEnd}.
+ * Runs one attempt until it ends. Never rejects: every failure is an {@link EngineEnd}.
  *
  * @example
  * const end = await runEngineAttempt({ url, nonce, body, maxChunks: 64, stallMs: 2_000, signal, onText });
@@ -97,7 +97,7 @@
       return;
     }
     signal.addEventListener('abort', this.#onAbort);
-    this.#touch();
+    this.#restartStallTimer();
     const req = httpRequest(`${this.#attempt.url}/v1/chat/completions`, {
       method: 'POST',
       agent,
@@ -122,7 +122,7 @@
   }
 
   #onResponse(res: IncomingMessage): void {
-    this.#touch();
+    this.#restartStallTimer();
     if (res.statusCode !== 200) {
       this.#readRejection(res);
       return;
@@ -134,13 +134,13 @@
     });
     res.setEncoding('utf8');
     res.on('data', (text: string) => {
-      this.#touch();
+      this.#restartStallTimer();
       if (!this.#settled) parser.feed(text);
     });
     res.on('error', (err) => {
       this.#settle({ type: 'crashed', detail: err.message });
     });
-    // a stream that closes without its final event is a crash, whatever it has delivered so far.
+    // A stream that closes without its final event counts as a crash, even after some output.
     res.on('close', () => {
       this.#settle({ type: 'crashed', detail: 'the stream ended without its final event' });
     });
@@ -164,14 +164,14 @@
       return;
     }
     const chunk = parseChunk(event.data);
-    // the nonce comes before the event number: a late event of another attempt has that attempt's
-    // number, and would make this attempt's own next events look repeated.
-    if (!chunk || !isOfAttempt(chunk.id, this.#attempt.nonce)) return;
+    // The nonce is checked before the event number. A late event of another attempt carries that
+    // attempt's number, which would make the next events of this attempt look like repeats.
+    if (!chunk || !hasNonce(chunk.id, this.#attempt.nonce)) return;
     if (!this.#isRepeated(event.id)) this.#onChunk(chunk);
   }
 
-  // guards against an engine that sends an event twice or late within one stream: the caller would
-  // see a repeated word. Engines that number their events let us drop everything not newer.
+  // An engine may send an event twice or late within one stream; the caller would see repeated text.
+  // If the engine numbers its events, all events that are not newer than the last one are dropped.
   #isRepeated(eventId: string | undefined): boolean {
     if (eventId === undefined || eventId === '') return false;
     const number = Number(eventId);
@@ -195,7 +195,7 @@
   }
 
   #onText(text: string): void {
-    // an engine that ignores the output limit is cut off here, so it cannot spend past the reservation.
+    // Stops an engine that ignores the output limit, so that it cannot exceed the reservation.
     if (this.#chunks >= this.#attempt.maxChunks) {
       this.#finishReason = 'length';
       this.#settleDone();
@@ -222,7 +222,7 @@
     return this.#connected ? { type: 'crashed', detail } : { type: 'not-sent', detail };
   }
 
-  #touch(): void {
+  #restartStallTimer(): void {
     clearTimeout(this.#timer);
     if (this.#settled) return;
     this.#timer = setTimeout(() => {
@@ -239,15 +239,15 @@
     this.#settled = true;
     clearTimeout(this.#timer);
     this.#attempt.signal.removeEventListener('abort', this.#onAbort);
-    // only a stream that reached its final event leaves a clean connection behind.
+    // Only a stream that reached its final event leaves a connection that can be reused.
     const clean = end.type === 'done' && end.finishReason !== 'length';
     if (!clean && end.type !== 'rejected' && end.type !== 'leaving') this.#req?.destroy();
     this.#resolve(end);
   }
 }
 
-/** Engines give the nonce back as the chunk's id, some with a prefix of their own. */
-function isOfAttempt(chunkId: string, nonce: string): boolean {
+/** Engines return the nonce as the chunk's id; some add a prefix. */
+function hasNonce(chunkId: string, nonce: string): boolean {
   return chunkId === nonce || chunkId.endsWith(`-${nonce}`);
 }
 
--- a/packages/router/src/node/backends/healthEnd.ts
+++ b/packages/router/src/node/backends/healthEnd.ts
@@ -1,10 +1,13 @@
-/** What the end of an attempt says of its server's health. */
+/** Maps the end of an attempt to its effect on the server's health. */
 
 import type { AttemptResult } from '@flamingocourse/core';
 import type { AttemptEnd } from '../../types/backends.js';
 
-/** A crash counts as a failure of the server; what crashed it is the quarantine's matter. */
-export function healthEnd(how: AttemptEnd): AttemptResult['end'] {
+/**
+ * Maps the end of an attempt to the result that the server's health is judged by. A crash counts as
+ * a failure of the server; the quarantine determines separately which request caused it.
+ */
+export function toHealthOutcome(how: AttemptEnd): AttemptResult['end'] {
   switch (how) {
     case 'crashed':
     case 'broken':
--- a/packages/router/src/node/backends/laneLearning.ts
+++ b/packages/router/src/node/backends/laneLearning.ts
@@ -1,27 +1,27 @@
-/** What a lane has learned about its classes: how long they take and whether targets are met. */
+/** Statistics of a lane's work classes: service times and whether targets are met. */
 
 import type { EpochMs, Importance, PlacementRule, ServiceTime } from '@flamingocourse/core';
 import { cautiousServiceMs, ImportanceReserve, recordServiceTime } from '@flamingocourse/core';
 
-/** Timing of an attempt that gave its answer, in milliseconds. */
+/** Timing of an attempt that returned its answer, in milliseconds. */
 export interface AnswerTiming {
   workClass: string;
   importance: Importance;
-  /** From the request's arrival to its place. */
+  /** From the request's arrival to its placement. */
   waitedMs: number;
-  /** From the place to the first token, or for plain services to the answer. */
+  /** From the placement to the first token, or to the answer for plain services. */
   firstTokenMs: number;
-  /** From the place to the end. */
+  /** From the placement to the end of the answer. */
   serviceMs: number;
 }
 
-/** Learns from answers; the reserve of places for important work follows from it. */
-export class LaneLearning {
+/** Records answers and refusals, and adapts the reserve of places for important work to them. */
+export class LaneStatistics {
   readonly #reserve = new ImportanceReserve();
   readonly #serviceTimes = new Map<string, ServiceTime>();
   #targets = new Map<string, number>();
 
-  /** Takes the first-token targets of the classes, in milliseconds. */
+  /** Sets the first-token targets of the classes, in milliseconds. */
   setTargets(targets: Map<string, number>): void {
     this.#targets = targets;
   }
@@ -30,16 +30,16 @@
     return this.#targets.get(workClass);
   }
 
-  /** Expected time of a request of the class once placed, in milliseconds. */
+  /** Expected time from placement to the end of a request of the class, in milliseconds. */
   serviceMs(workClass: string, now: EpochMs): number {
     return cautiousServiceMs(this.#serviceTimes.get(workClass), now);
   }
 
-  ruleFor(importance: Importance, owed = false): PlacementRule {
-    return this.#reserve.ruleFor(importance, owed);
+  ruleFor(importance: Importance, isMinimumShareTurn = false): PlacementRule {
+    return this.#reserve.ruleFor(importance, isMinimumShareTurn);
   }
 
-  answered(timing: AnswerTiming, now: EpochMs): void {
+  recordAnswer(timing: AnswerTiming, now: EpochMs): void {
     const { workClass, importance, waitedMs, firstTokenMs, serviceMs } = timing;
     const known = this.#serviceTimes.get(workClass);
     this.#serviceTimes.set(workClass, recordServiceTime(known, serviceMs, now));
@@ -48,8 +48,8 @@
     this.#reserve.sample(importance, waitedMs + firstTokenMs > target);
   }
 
-  /** A request that was refused for want of places has missed its target. */
-  refused(importance: Importance): void {
+  /** Records a request that was refused because no place was free; it has missed its target. */
+  recordRefusal(importance: Importance): void {
     this.#reserve.sample(importance, true);
   }
 }
--- a/packages/router/src/node/backends/laneRefusals.ts
+++ b/packages/router/src/node/backends/laneRefusals.ts
@@ -1,35 +1,35 @@
-/** Refusals of requests that got no place at a server. */
+/** Refusals of requests that were not placed on a server. */
 
 import type { Refusal } from '@flamingocourse/core';
 import { notRun } from '../../utils/problem.js';
 
-/** Milliseconds after which a caller may come back when no server takes requests. */
+/** Milliseconds after which a caller may retry if no server accepts requests. */
 const NO_SERVER_RETRY_MS = 1_000;
 
-/** Why the queue gives a request up. */
+/** Detail texts for the reasons for which the queue sheds a request. */
 export const shedDetails = {
   overloaded: 'The queue is full; retry later.',
   'deadline-unreachable': 'The queue is too long for the deadline; retry later.',
   'deadline-passed': 'The deadline passed in the queue.',
 } as const;
 
-export function noServer(): Refusal {
+export function noServerRefusal(): Refusal {
   const detail = 'No backend server can take the request now; retry soon.';
   return notRun('no-backend-server', detail, NO_SERVER_RETRY_MS);
 }
 
-export function gone(): Refusal {
+export function cancelledRefusal(): Refusal {
   return notRun('deadline-passed', 'The request was given up before it ran.');
 }
 
-/** @param waitMs until its turn would come. */
-export function notTakenYet(waitMs: number): Refusal {
+/** @param waitMs milliseconds until the request could be sent. */
+export function rateLimitedRefusal(waitMs: number): Refusal {
   const detail = 'All backend servers rest or limit the requests a second; retry later.';
   return notRun('overloaded', detail, Math.ceil(waitMs));
 }
 
-/** @param retryAfterMs until it may run again, where that is known. */
-export function quarantined(retryAfterMs: number | undefined): Refusal {
+/** @param retryAfterMs milliseconds until the request may run again, if known. */
+export function quarantinedRefusal(retryAfterMs: number | undefined): Refusal {
   const detail = 'This request has crashed the servers that ran it; change it.';
   return notRun('quarantined', detail, retryAfterMs);
 }
--- a/packages/router/src/node/backends/loadProbe.ts
+++ b/packages/router/src/node/backends/loadProbe.ts
@@ -1,4 +1,4 @@
-/** Asks a backend server for its load and whether it leaves. */
+/** Asks a backend server for its load and whether it is leaving. */
 
 import { Agent } from 'node:http';
 import { exchange } from '@flamingocourse/kernel';
@@ -9,7 +9,7 @@
 
 const loadSchema = z.object({ running: z.number(), waiting: z.number(), asOf: z.number() });
 
-/** What a server said. */
+/** Result of a probe. */
 export type ProbedLoad =
   | { type: 'load'; report: { running: number; waiting: number; at: number } }
   | { type: 'leaving' }
@@ -18,7 +18,8 @@
 const agent = new Agent({ keepAlive: true, maxSockets: 4 });
 
 /**
- * Reads `GET /health` and `GET /load`. Never throws; a server that does not answer is `unknown`.
+ * Reads `GET /health` and `GET /load`. Never rejects; the result is `unknown` if the server does
+ * not return a valid load.
  *
  * @example
  * const probed = await probeLoad('http://10.0.0.7:9000');
@@ -28,7 +29,7 @@
   return health.includes('"leaving"') ? { type: 'leaving' } : parseLoad(load);
 }
 
-/** Body of a GET, empty when there is none in time. */
+/** Returns the body of a GET, or an empty string if the request fails or times out. */
 async function read(url: string): Promise<string> {
   const answer = await exchange({
     method: 'GET',
--- a/packages/router/src/node/backends/plainAttempt.ts
+++ b/packages/router/src/node/backends/plainAttempt.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage } from 'node:http';
 import { Agent, request as httpRequest } from 'node:http';
 
-/** Largest answer of a plain service that is passed on, in bytes. */
+/** Largest answer of a plain service that is forwarded, in bytes. */
 const MAX_ANSWER_BYTES = 4 * 1_048_576;
 
 /** How a call to a plain service ended. */
@@ -16,7 +16,7 @@
   | { type: 'timed-out' }
   | { type: 'cancelled' };
 
-/** What a call needs. */
+/** Parameters of one call. */
 export interface PlainAttempt {
   url: string;
   nonce: string;
@@ -31,10 +31,10 @@
 const agent = new Agent({ keepAlive: true, maxSockets: 512, scheduling: 'lifo' });
 
 /**
- * Runs the call to its end. Never throws.
+ * Runs one call until it ends. Never rejects.
  *
- * `not-sent` is said only when no connection was made, so that no byte can have reached the
- * service. Everything after that is `crashed` or `timed-out`: the call may have run.
+ * `not-sent` is returned only if no connection was made, so no byte can have reached the service.
+ * After that, a failure is `crashed` or `timed-out`: the call may have run.
  *
  * @example
  * const end = await runPlainAttempt({ url, nonce, method: 'GET', path: '/items', ... });
@@ -46,8 +46,8 @@
     const timer = setTimeout(() => {
       settle({ type: 'timed-out' });
     }, attempt.timeoutMs);
-    // a fresh connection for each call: on a kept one, a server that has just closed it looks the
-    // same as one that broke off after running the call.
+    // Calls other than GET use a new connection each. On a reused connection, a server that closed it
+    // before the call cannot be distinguished from one that failed after running the call.
     const req = httpRequest(`${attempt.url}${attempt.path}`, {
       method: attempt.method,
       agent: attempt.method === 'GET' ? agent : false,
--- a/packages/router/src/node/backends/quarantineRegister.ts
+++ b/packages/router/src/node/backends/quarantineRegister.ts
@@ -1,4 +1,4 @@
-/** This router's knowledge of requests that crash their servers, shared with peers. */
+/** Records requests that crash their servers and shares the records with peers. */
 
 import type {
   BackendServer,
@@ -18,16 +18,16 @@
   refusedForMs,
 } from '@flamingocourse/core';
 
-/** Most fingerprints in the line of a crash. */
-const MAX_LOGGED = 32;
+/** Most fingerprints in the log line of a crash. */
+const MAX_LOGGED_FINGERPRINTS = 32;
 
-/** Who sees which requests. */
+/** Options of {@link QuarantineRegister}. */
 export interface QuarantineOptions {
-  /** Whether requests of other routers run beside this one's at a server. @default false */
+  /** Whether servers also run requests of other routers at the same time. @default false */
   isShared?: boolean;
 }
 
-/** Keeps the quarantine's state and tells peers about each crash at once. */
+/** Holds the quarantine state and reports each crash to peers immediately. */
 export class QuarantineRegister {
   readonly #clock: Clock;
   readonly #log: EventLog;
@@ -46,7 +46,7 @@
     this.#exchange = exchange;
     this.#isShared = isShared;
     exchange.onNews((news) => {
-      this.#take(news);
+      this.#applyFromPeer(news);
     });
   }
 
@@ -54,48 +54,50 @@
     return judgeFingerprint(this.#state, fingerprint, this.#clock.now());
   }
 
-  /** Milliseconds for which a request is refused still, where that is known. */
+  /** Remaining milliseconds for which a request is refused, if known. */
   refusedForMs(fingerprint: Fingerprint): number | undefined {
     const ms = refusedForMs(this.#state, fingerprint, this.#clock.now());
     return ms > 0 ? Math.ceil(ms) : undefined;
   }
 
-  /** A server broke off everything that it ran for this router. */
-  crashed(server: BackendServer, inFlight: Fingerprint[]): void {
+  /** Records that a server crashed while it ran the given requests for this router. */
+  recordCrash(server: BackendServer, inFlight: Fingerprint[]): void {
     this.#log.write('backend-crashed', {
       server: server.id,
       inFlight: inFlight.length,
-      fingerprints: inFlight.slice(0, MAX_LOGGED).join(' '),
+      fingerprints: inFlight.slice(0, MAX_LOGGED_FINGERPRINTS).join(' '),
     });
-    this.#tell(
+    this.#applyOwn(
       this.#isShared
         ? { type: 'crashed', server: serverIncarnationId(server), inFlight, isShared: true }
         : { type: 'crashed', server: server.id, inFlight },
     );
   }
 
-  finished(fingerprint: Fingerprint): void {
+  recordFinished(fingerprint: Fingerprint): void {
     if (!this.#state.entries[fingerprint]) return;
-    this.#tell({ type: 'finished', fingerprint });
+    this.#applyOwn({ type: 'finished', fingerprint });
   }
 
-  /** Takes in what this router saw, and tells peers if it changed anything. */
-  #tell(event: QuarantineEvent): void {
+  /** Applies an event observed by this router and publishes it if it changes the state. */
+  #applyOwn(event: QuarantineEvent): void {
     const before = this.#state;
     this.#apply(event, this.#clock.now(), 'seen here');
     if (this.#state !== before) this.#exchange.publish(event, this.#state);
   }
 
-  #take(news: QuarantineNews): void {
+  #applyFromPeer(news: QuarantineNews): void {
     if (news.type === 'event') this.#apply(news.event, news.at, 'told by a peer');
     else this.#state = mergeQuarantines(this.#state, news.state, this.#clock.now());
   }
 
   #apply(event: QuarantineEvent, at: number, evidence: string): void {
     const inFlight = event.type === 'crashed' ? event.inFlight : [];
-    const free = inFlight.filter((fingerprint) => this.judge(fingerprint) !== 'quarantined');
+    const notQuarantined = inFlight.filter(
+      (fingerprint) => this.judge(fingerprint) !== 'quarantined',
+    );
     this.#state = reduceQuarantine(this.#state, event, at);
-    for (const fingerprint of free) {
+    for (const fingerprint of notQuarantined) {
       if (this.judge(fingerprint) !== 'quarantined') continue;
       const server = event.type === 'crashed' ? event.server : undefined;
       this.#log.write('request-quarantined', { fingerprint, server, evidence });
--- a/packages/router/src/node/backends/serviceLane.ts
+++ b/packages/router/src/node/backends/serviceLane.ts
@@ -1,4 +1,4 @@
-/** Queue and servers of one service: decides which waiting request goes where, and when. */
+/** Queue and servers of one service: decides when and to which server each request is sent. */
 
 import type {
   AdmissionQueue,
@@ -28,19 +28,25 @@
 } from '@flamingocourse/core';
 import { Result } from 'true-myth';
 import { notRun } from '../../utils/problem.js';
-import { gone, noServer, notTakenYet, quarantined, shedDetails } from './laneRefusals.js';
-import { healthEnd } from './healthEnd.js';
+import {
+  cancelledRefusal,
+  noServerRefusal,
+  rateLimitedRefusal,
+  quarantinedRefusal,
+  shedDetails,
+} from './laneRefusals.js';
+import { toHealthOutcome } from './healthEnd.js';
 import { InFlightRequests } from './inFlightRequests.js';
-import { LaneLearning } from './laneLearning.js';
+import { LaneStatistics } from './laneLearning.js';
 
-/** Requests that wait apart because no server that they may use has room. */
+/** Most requests that wait outside the queue because no server that they may use has room. */
 const MAX_PARKED = 256;
 
-/** The more important one comes first. */
+/** Sort order of waiting requests; lower values come first. */
 const importanceOrder = { first: 0, standard: 1, background: 2 } as const;
 const enginePriority = { first: 0, standard: 10, background: 20 } as const;
 
-/** Passive parts of a lane. */
+/** Options of {@link ServiceLane}. */
 export interface ServiceLaneOptions {
   pool: ServerPool;
   queue: AdmissionQueue;
@@ -48,14 +54,15 @@
   quarantine: QuarantineRegister;
   clock: Clock;
   random: () => number;
-  /** Asked about servers that break off; without it they only count as failed. */
+  /** Checks servers that break connections; without it, a broken connection is only a failure. */
   crashCheck?: CrashCheck;
   /** @default 'near-first' */
   scope?: PlacementScope;
   /**
-   * Whether a request that was in flight in a crash runs alone at a server until it is cleared. Not
-   * where servers run dozens of requests at once: a server without any is hardly ever to be had, and
-   * a stream that is to go on at another server would wait for one. @default true
+   * Whether a request that was in flight during a crash runs alone at a server until it is cleared.
+   * Set it to false if servers run dozens of requests at once: an idle server is then almost never
+   * available, and a stream that has to continue at another server would wait for one.
+   * @default true
    */
   runsSuspectsAlone?: boolean;
 }
@@ -67,15 +74,15 @@
   resolve(placed: Result<Placement, Refusal>): void;
 }
 
-/** One service's waiting requests and servers. */
+/** Waiting requests and servers of one service. */
 export class ServiceLane {
   readonly #options: ServiceLaneOptions;
   readonly #waiters = new Map<number, Waiter>();
-  /** Waiting requests that need a server which is not to be had yet; tried before the queue. */
+  /** Waiting requests for which no suitable server is free yet; tried before the queue. */
   readonly #parked = new Set<number>();
   readonly #inFlight = new InFlightRequests();
-  readonly #learning = new LaneLearning();
-  readonly #holders = new PromptLocations();
+  readonly #statistics = new LaneStatistics();
+  readonly #promptLocations = new PromptLocations();
   #retries: RetryBudget = createRetryBudget();
   #nextId = 1;
 
@@ -87,7 +94,7 @@
     return this.#waiters.size;
   }
 
-  /** Servers of this service as the pool sees them. */
+  /** Servers of this service in the pool. */
   get servers(): BackendServer[] {
     return this.#options.pool.servers;
   }
@@ -96,18 +103,18 @@
     return this.#options.pool;
   }
 
-  /** Takes the first-token targets of the classes that use this service. */
+  /** Sets the first-token targets, in milliseconds, of the classes that use this service. */
   setTargets(targets: Map<string, number>): void {
-    this.#learning.setTargets(targets);
+    this.#statistics.setTargets(targets);
   }
 
-  /** Waits for a place; refuses at once when none can come in time. */
+  /** Waits for a place; refuses immediately if none can become free in time. */
   place(request: PlacementRequest): Promise<Result<Placement, Refusal>> {
     const now = this.#options.clock.now();
     const verdict = this.#options.quarantine.judge(request.fingerprint);
     if (verdict === 'quarantined') return Promise.resolve(Result.err(this.#quarantined(request)));
-    if (request.signal.aborted) return Promise.resolve(Result.err(gone()));
-    if (!this.#hasServer(now)) return Promise.resolve(Result.err(noServer()));
+    if (request.signal.aborted) return Promise.resolve(Result.err(cancelledRefusal()));
+    if (!this.#hasServer(now)) return Promise.resolve(Result.err(noServerRefusal()));
     if (request.tried.length === 0) this.#retries = earnRetry(this.#retries);
     return new Promise((resolve) => {
       const exclusive = verdict === 'suspect' && (this.#options.runsSuspectsAlone ?? true);
@@ -116,27 +123,30 @@
     });
   }
 
-  /** Takes a retry out of the budget, if there is one left. */
+  /** Takes one retry from the retry budget; returns false if none is left. */
   mayRetry(): boolean {
     const spent = spendRetry(this.#retries);
     if (spent) this.#retries = spent;
     return spent !== undefined;
   }
 
-  /** Avoids servers at which requests wait and nothing comes; returns those newly avoided. */
+  /**
+   * Avoids servers that have requests in flight but have sent nothing for `silentMs`; returns the
+   * newly avoided ones.
+   */
   avoidSilent(silentMs: number): string[] {
     return this.#options.pool.avoidSilent(silentMs, this.#options.clock.now());
   }
 
-  /** Hands out free places; to be called after every change and at short intervals. */
+  /** Assigns free places to waiting requests; call it after every change and at short intervals. */
   pump(): void {
     const now = this.#options.clock.now();
     const { queue, pool } = this.#options;
     for (const shed of queue.expire(now)) this.#refuseShed(shed);
     this.#pumpParked(now);
     for (;;) {
-      const { entry, shed } = queue.take(now, (importance, owed) =>
-        pool.hasRoom(this.#learning.ruleFor(importance, owed), now),
+      const { entry, shed } = queue.take(now, (importance, isMinimumShareTurn) =>
+        pool.hasRoom(this.#statistics.ruleFor(importance, isMinimumShareTurn), now),
       );
       for (const item of shed) this.#refuseShed(item);
       if (!entry) break;
@@ -146,20 +156,23 @@
     this.#refuseTooLate(now);
   }
 
-  /** Whether any server takes requests, now or after a rest. */
+  /** Whether any server accepts requests, now or after a pause. */
   #hasServer(now: EpochMs): boolean {
     const { pool } = this.#options;
     return pool.hasOpenServer(undefined, now) || pool.pauseEndsInMs(now) !== undefined;
   }
 
-  /** Refuses everything that waits; for the end of the service or the router. */
+  /** Refuses all waiting requests; called when the service is removed or the router stops. */
   clear(): void {
-    for (const id of this.#waiters.keys()) this.#settle(id, Result.err(noServer()));
+    for (const id of this.#waiters.keys()) this.#settle(id, Result.err(noServerRefusal()));
     this.#options.queue.clear();
     this.#parked.clear();
   }
 
-  /** Refuses those whose turn comes too late because all servers limit the requests a second or rest. */
+  /**
+   * Refuses requests that could only be sent after their latest start time, because all servers are
+   * paused or rate limited.
+   */
   #refuseTooLate(now: EpochMs): void {
     const { pool, queue } = this.#options;
     const pace = this.#waiters.size === 0 ? undefined : pool.sendPace(now);
@@ -175,7 +188,7 @@
         continue;
       }
       queue.remove(id);
-      this.#settle(id, Result.err(notTakenYet(waitMs)));
+      this.#settle(id, Result.err(rateLimitedRefusal(waitMs)));
     }
   }
 
@@ -184,9 +197,9 @@
     this.#nextId += 1;
     this.#waiters.set(id, waiter);
     waiter.request.signal.addEventListener('abort', () => {
-      this.#drop(id);
+      this.#cancel(id);
     });
-    // a suspect waits for a server of its own, apart from the queue, so that it delays nobody.
+    // A suspect waits for an idle server outside the queue, so that it does not delay other requests.
     if (waiter.exclusive) {
       this.#park(id, waiter, waiter.arrivedAt);
       return;
@@ -197,13 +210,13 @@
 
   #toEntry(id: number, { request, arrivedAt }: Waiter): QueueEntry {
     const { workClass, deadline } = request;
-    const targetMs = this.#learning.targetMs(workClass);
+    const targetMs = this.#statistics.targetMs(workClass);
     return {
       id,
       deadline,
-      // a request that has begun to answer must not wait behind new ones: its caller sees the pause.
+      // A retry goes first: if the answer has already begun, its caller would notice the pause.
       importance: request.tried.length > 0 ? 'first' : request.importance,
-      serviceMs: this.#learning.serviceMs(workClass, arrivedAt),
+      serviceMs: this.#statistics.serviceMs(workClass, arrivedAt),
       ...(targetMs === undefined ? {} : { targetAt: arrivedAt + targetMs }),
     };
   }
@@ -217,7 +230,7 @@
         const refusal = notRun('deadline-passed', shedDetails['deadline-passed']);
         this.#settle(id, Result.err(refusal));
       } else if (!this.#hasServer(now)) {
-        this.#settle(id, Result.err(noServer()));
+        this.#settle(id, Result.err(noServerRefusal()));
       } else {
         this.#tryPlace(id, waiter, now);
       }
@@ -235,7 +248,7 @@
   }
 
   #tryPlace(id: number, waiter: Waiter, now: EpochMs): boolean {
-    // it may have been found out while the request waited.
+    // The request may have been quarantined while it waited.
     if (this.#options.quarantine.judge(waiter.request.fingerprint) === 'quarantined') {
       this.#settle(id, Result.err(this.#quarantined(waiter.request)));
       return true;
@@ -246,7 +259,7 @@
     return true;
   }
 
-  /** Prefers a server that the request has not tried; with all tried, any may have recovered. */
+  /** Prefers a server that the request has not tried. If it has tried all, any may have recovered. */
   #choose({ request, exclusive }: Waiter, now: EpochMs): Candidate | undefined {
     const { pool, chooser, random, scope = 'near-first' } = this.#options;
     const { prefixKey, promptTokens } = request;
@@ -254,7 +267,7 @@
       ...(prefixKey === undefined ? {} : { prefixHash: hash32(prefixKey) }),
       ...(promptTokens === undefined ? {} : { promptTokens }),
     };
-    const { extra } = this.#learning.ruleFor(request.importance);
+    const { extra } = this.#statistics.ruleFor(request.importance);
     const tried = new Set(request.tried);
     const query = pool.maySend(tried, now)
       ? { tried, exclusive, extra, scope }
@@ -272,19 +285,27 @@
     const { prefixKey } = request;
     return {
       server,
-      holder: prefixKey === undefined ? undefined : this.#holderOf(prefixKey, server, request, now),
+      holder:
+        prefixKey === undefined
+          ? undefined
+          : this.#findPromptSource(prefixKey, server, request, now),
       priority: enginePriority[request.importance],
       heard: () => {
         pool.recordReceived(attempt, this.#options.clock.now());
       },
       promptRead: () => {
-        if (prefixKey !== undefined) this.#holders.record(prefixKey, server.id);
+        if (prefixKey !== undefined) this.#promptLocations.record(prefixKey, server.id);
       },
       end: (how, firstTokenMs) => {
         this.#recordEnd(attempt, request, how, firstTokenMs);
         this.#reportCrash(server, attempt, request.fingerprint, how);
         if (how === 'ok' && firstTokenMs !== undefined) {
-          this.#learn(request, now - arrivedAt, firstTokenMs, this.#options.clock.now() - now);
+          this.#recordAnswer(
+            request,
+            now - arrivedAt,
+            firstTokenMs,
+            this.#options.clock.now() - now,
+          );
         }
         this.pump();
       },
@@ -292,19 +313,19 @@
   }
 
   /**
-   * Where a server that has to read a prompt can copy it from: from the server that read it last for this
-   * instance, or else from the one at which all instances place it first.
+   * Finds a server from which another server can copy a prompt instead of reading it: the server
+   * that last read it for this instance, or else the server that all instances prefer for it.
    */
-  #holderOf(
+  #findPromptSource(
     prefixKey: string,
     { id }: BackendServer,
     { tried }: PlacementRequest,
     now: EpochMs,
   ): BackendServer | undefined {
     const { pool } = this.#options;
-    const known = this.#holders.find(prefixKey);
+    const known = this.#promptLocations.find(prefixKey);
     if (known === id) return undefined;
-    // a server that just failed this request may be down, and the copy would wait for it.
+    // A server that just failed this request may be down, and the copy would wait for it.
     if (known !== undefined && !tried.includes(known) && pool.canCopyFrom(known, now)) {
       return pool.server(known);
     }
@@ -317,9 +338,9 @@
     how: AttemptEnd,
     firstTokenMs: number | undefined,
   ): void {
-    const targetMs = this.#learning.targetMs(workClass);
+    const targetMs = this.#statistics.targetMs(workClass);
     const result: AttemptResult = {
-      end: healthEnd(how),
+      end: toHealthOutcome(how),
       ...(firstTokenMs === undefined ? {} : { firstTokenMs }),
       ...(targetMs === undefined ? {} : { targetMs }),
     };
@@ -331,48 +352,48 @@
   #reportCrash(server: BackendServer, attempt: number, fingerprint: string, how: AttemptEnd): void {
     const { quarantine } = this.#options;
     const isFirstReport = this.#inFlight.remove(server.id, attempt);
-    if (how === 'ok') quarantine.finished(fingerprint);
+    if (how === 'ok') quarantine.recordFinished(fingerprint);
     if (!isFirstReport) return;
-    if (how === 'crashed') this.#crashed(server, [fingerprint]);
-    if (how === 'broken' && this.#inFlight.breakOff(server.id, fingerprint)) {
-      void this.#findOut(server);
+    if (how === 'crashed') this.#recordCrash(server, [fingerprint]);
+    if (how === 'broken' && this.#inFlight.recordBrokenRequest(server.id, fingerprint)) {
+      void this.#checkForCrash(server);
     }
   }
 
-  /** Finds out whether a server that broke off has crashed. */
-  async #findOut(server: BackendServer): Promise<void> {
+  /** Checks whether a server that broke a connection has crashed, and records the crash. */
+  async #checkForCrash(server: BackendServer): Promise<void> {
     const hasEnded = await this.#options.crashCheck?.hasEnded(server);
-    const brokenOff = this.#inFlight.takeBrokenOff(server.id);
-    if (hasEnded) this.#crashed(server, brokenOff);
+    const brokenRequests = this.#inFlight.takeBrokenRequests(server.id);
+    if (hasEnded) this.#recordCrash(server, brokenRequests);
   }
 
-  #crashed(server: BackendServer, brokenOff: string[]): void {
+  #recordCrash(server: BackendServer, brokenRequests: string[]): void {
     const others = this.#inFlight.takeAll(server.id);
-    this.#options.quarantine.crashed(server, [...new Set([...brokenOff, ...others])]);
+    this.#options.quarantine.recordCrash(server, [...new Set([...brokenRequests, ...others])]);
   }
 
-  #learn(
+  #recordAnswer(
     { workClass, importance }: PlacementRequest,
     waitedMs: number,
     firstTokenMs: number,
     serviceMs: number,
   ): void {
     const timing = { workClass, importance, waitedMs, firstTokenMs, serviceMs };
-    this.#learning.answered(timing, this.#options.clock.now());
+    this.#statistics.recordAnswer(timing, this.#options.clock.now());
   }
 
   #quarantined({ fingerprint }: PlacementRequest): Refusal {
-    return quarantined(this.#options.quarantine.refusedForMs(fingerprint));
+    return quarantinedRefusal(this.#options.quarantine.refusedForMs(fingerprint));
   }
 
   #refuseShed({ entry, reason, retryAfterMs }: ShedEntry): void {
-    this.#learning.refused(entry.importance);
+    this.#statistics.recordRefusal(entry.importance);
     this.#settle(entry.id, Result.err(notRun(reason, shedDetails[reason], retryAfterMs)));
   }
 
-  #drop(id: number): void {
+  #cancel(id: number): void {
     this.#options.queue.remove(id);
-    this.#settle(id, Result.err(gone()));
+    this.#settle(id, Result.err(cancelledRefusal()));
   }
 
   #settle(id: number, placed: Result<Placement, Refusal>): void {
--- a/packages/router/src/types/backendPorts.ts
+++ b/packages/router/src/types/backendPorts.ts
@@ -1,4 +1,4 @@
-/** Seams between placement and the outside. */
+/** Interfaces through which placement reads instance lists, drains and peers' quarantine state. */
 
 import type {
   EpochMs,
@@ -10,35 +10,35 @@
   ServiceName,
 } from '@flamingocourse/core';
 
-/** The platform's lagging instance list. */
+/** The platform's instance list, which lags behind the real state. */
 export interface InstanceSource {
-  /** Gives undefined when the list cannot be read; the last known one then stays in force. */
+  /** Returns undefined if the list cannot be read; the caller then keeps the last known list. */
   list(instanceList: ServiceName): Promise<InstanceRecord[] | undefined>;
 }
 
-/** What peers tell of requests that crash their servers. */
+/** What a peer reports about requests that crash their servers. */
 export type QuarantineNews =
-  /** All that a peer knows. */
+  /** The complete state of a peer. */
   | { type: 'state'; state: QuarantineState }
-  /** One thing that a peer saw, and when, by the clock of this process. */
+  /** One event that a peer observed, with its time by the clock of this process. */
   | { type: 'event'; event: QuarantineEvent; at: EpochMs };
 
-/** News about requests that crash their servers, to and from peers. */
+/** Exchanges information about requests that crash their servers with peers. */
 export interface QuarantineExchange {
   /**
-   * Sends news to peers; a lost one only delays them.
+   * Sends an event to peers. If the message is lost, peers only learn of the event later.
    *
-   * @param state all that is known after the event.
+   * @param state complete state after the event.
    */
   publish(event: QuarantineEvent, state: QuarantineState): void;
-  /** A request is refused from now on, by what was seen here or told by peers. */
+  /** Called when a request is refused from now on, because of local events or reports of peers. */
   quarantined?(fingerprint: Fingerprint, state: QuarantineState): void;
-  /** Calls back with what peers have sent. */
+  /** Registers a listener for what peers send. */
   onNews(listener: (news: QuarantineNews) => void): void;
 }
 
-/** Operators' drains. */
+/** Servers that operators have drained. */
 export interface DrainSource {
-  /** Calls back with all drains in force, at once and after each change. */
+  /** Calls the listener with all drains in force, immediately and after each change. */
   onDrains(listener: (drains: { service: ServiceName; server: ServerId }[]) => void): void;
 }
--- a/packages/router/src/types/backends.ts
+++ b/packages/router/src/types/backends.ts
@@ -1,4 +1,4 @@
-/** What the request path asks of the backend servers. */
+/** Interface through which the request path gets places on backend servers. */
 
 import type {
   BackendServer,
@@ -13,33 +13,36 @@
 import type { Result } from 'true-myth';
 import { Service } from '@flamingocourse/kernel';
 
-/** A wish to run one attempt. */
+/** A request for a place to run one attempt. */
 export interface PlacementRequest {
   service: ServiceName;
   workClass: WorkClassName;
   importance: Importance;
-  /** Latest useful time of the whole answer. */
+  /** Time after which the complete answer is of no use. */
   deadline: EpochMs;
-  /** Latest time at which it may be sent; if that can't be kept for rate limits it is refused at once. */
+  /**
+   * Latest time at which the request may be sent. If rate limits or pauses of the servers make that
+   * impossible, the request is refused immediately.
+   */
   startBy?: EpochMs;
-  /** Requests with the same prefix key gain from the same server's prompt cache. */
+  /** Requests with the same prefix key benefit from the prompt cache of the same server. */
   prefixKey?: string;
-  /** Tokens of the prompt, where the request has one. */
+  /** Number of tokens of the prompt, if the request has one. */
   promptTokens?: Tokens;
   /** Servers that this request has already tried. */
   tried: ServerId[];
-  /** Digest of what runs, to find requests that crash their servers. */
+  /** Digest of the request, used to identify requests that crash their servers. */
   fingerprint: string;
-  /** Aborted when nobody waits any more. */
+  /** Aborted when the caller no longer waits. */
   signal: AbortSignal;
 }
 
-/** How an attempt ended, as far as the server's health is concerned. */
+/** How an attempt ended, as it affects the server's health. */
 export type AttemptEnd =
   | 'ok'
   | 'failed'
   | 'crashed'
-  /** The connection ended before the whole answer; whether the server crashed is to be found out. */
+  /** The connection ended before the answer was complete; the server may have crashed. */
   | 'broken'
   | 'timed-out'
   | 'cancelled'
@@ -47,27 +50,28 @@
   /** No connection could be opened. */
   | 'unreachable';
 
-/** A place on a backend server for one attempt; ended exactly once. */
+/** A place on a backend server for one attempt; `end` must be called exactly once. */
 export interface Placement {
   server: BackendServer;
-  /** Another server that probably has read the request's shared prompt parts. */
+  /** Another server that probably has the shared parts of the prompt in its cache. */
   holder: BackendServer | undefined;
-  /** Value of the engine's `priority` field; lower runs first. */
+  /** Value of the engine's `priority` field; requests with lower values run first. */
   priority: number;
+  /** Releases the place. `firstTokenMs` is the time from the placement to the first token. */
   end(how: AttemptEnd, firstTokenMs?: number): void;
-  /** Something of the answer came. */
+  /** Records that a part of the answer has arrived. */
   heard(): void;
-  /** The server answers, so it has read the prompt. */
+  /** Records that the server has begun to answer and so has read the prompt. */
   promptRead(): void;
 }
 
-/** Places attempts on backend servers. Registered as `backends`. */
+/** Places attempts on backend servers. The service is registered as `backends`. */
 export abstract class Backends extends Service {
   override readonly name = 'backends';
 
-  /** Waits in the service's queue for a place; refuses at once when that cannot succeed. */
+  /** Waits in the service's queue for a place; refuses immediately if waiting cannot succeed. */
   abstract place(request: PlacementRequest): Promise<Result<Placement, Refusal>>;
 
-  /** Whether a further attempt is within the fleet's retry budget. */
+  /** Takes one retry from the service's retry budget; returns false if none is left. */
   abstract mayRetry(service: ServiceName): boolean;
 }
--- a/packages/router/src/types/configuration.ts
+++ b/packages/router/src/types/configuration.ts
@@ -1,4 +1,4 @@
-/** What the request path asks of the configuration in force. */
+/** Interface through which the request path reads the configuration in force. */
 
 import type {
   ClientAccountDeclaration,
@@ -8,11 +8,11 @@
 } from '@flamingocourse/core';
 import { Service } from '@flamingocourse/kernel';
 
-/** Declarations in force at this router. Registered as `configuration`. */
+/** Declarations in force at this router. The service is registered as `configuration`. */
 export abstract class Configuration extends Service {
   override readonly name = 'configuration';
 
-  /** Highest revision in force; never falls. */
+  /** Highest revision in force; never decreases. */
   abstract get revision(): number;
   abstract get deployment(): DeploymentDeclaration;
   /** Finds the account that an API key belongs to. */
@@ -25,6 +25,6 @@
   abstract services(): ServiceDeclaration[];
   /** Finds the model service that serves a model name. */
   abstract serviceByModel(model: string): ServiceDeclaration | undefined;
-  /** Calls back after each change; returns a function that ends it. */
+  /** Calls the listener after each change; returns a function that removes the listener. */
   abstract onChange(listener: () => void): () => void;
 }
--- a/packages/router/src/types/crashCheck.ts
+++ b/packages/router/src/types/crashCheck.ts
@@ -1,9 +1,9 @@
-/** Finds out whether a server that broke off has crashed. */
+/** Interface that checks whether a server crashed after its connection was lost. */
 
 import type { BackendServer } from '@flamingocourse/core';
 
-/** Tells a server whose process ended from one that only lost a connection. */
+/** Distinguishes a server whose process has ended from one that only lost a connection. */
 export abstract class CrashCheck {
-  /** Whether nothing of the server is there any more; never rejects, and takes a bounded time. */
+  /** Whether the server's process has ended. Never rejects and completes in bounded time. */
   abstract hasEnded(server: BackendServer): Promise<boolean>;
 }
--- a/packages/router/src/types/fleet.ts
+++ b/packages/router/src/types/fleet.ts
@@ -1,15 +1,15 @@
-/** What the router's services ask of the fleet's membership. */
+/** Interface through which the router's services read the fleet's membership. */
 
 import type { IncarnationId, MemberInfo, PeerHealth } from '@flamingocourse/core';
 import { Service } from '@flamingocourse/kernel';
 
-/** A peer with this router's judgement of it. */
+/** A peer and its health as this router judges it. */
 export interface Peer {
   info: MemberInfo;
   health: PeerHealth;
 }
 
-/** Routers of the fleet that this router knows. Registered as `fleet`. */
+/** Routers of the fleet that this router knows. The service is registered as `fleet`. */
 export abstract class Fleet extends Service {
   override readonly name = 'fleet';
 
@@ -20,11 +20,11 @@
   abstract setState(state: MemberInfo['state']): void;
   abstract setRevision(revision: number): void;
   abstract peers(): Peer[];
-  /** Peers of this router's own data centre that answer. */
+  /** Peers in this router's data centre that are alive. */
   abstract localPeers(): Peer[];
   abstract find(incarnation: IncarnationId): Peer | undefined;
-  /** Member (self included) of the own data centre that a key maps to, by rendezvous hashing. */
+  /** Member of this router's data centre, self included, to which rendezvous hashing maps a key. */
   abstract localOwner(key: string): MemberInfo;
-  /** Calls back when a peer's health changes; returns a function that ends it. */
+  /** Calls the listener when a peer's health changes; returns a function that removes it. */
   abstract onHealthChange(listener: (peer: Peer) => void): () => void;
 }
--- a/packages/router/src/types/routerSettings.ts
+++ b/packages/router/src/types/routerSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of one router instance, after defaults. */
+/** Settings of one router instance, with defaults filled in. */
 
 import type { DataCentreId } from '@flamingocourse/core';
 
@@ -10,7 +10,7 @@
 
 /** All settings of a router; `resolveConfig` fills in what the file leaves out. */
 export interface RouterSettings {
-  /** Stable name of the instance, unique in its data centre. */
+  /** Stable name of the instance, unique within its data centre. */
   instance: string;
   dataCentre: DataCentreId;
   /** Listener for callers. @default 127.0.0.1:8080 */
@@ -21,7 +21,7 @@
     maxBodyBytes: number;
     /** @default 2048 */
     maxConnections: number;
-    /** Longest time that a caller may leave its answer unread. @default 10000 */
+    /** Longest time in milliseconds that a caller may leave its answer unread. @default 10000 */
     slowReaderMs: number;
   };
   /** Listener for peers. @default 127.0.0.1:8081 */
@@ -30,42 +30,48 @@
     publicUrl: string;
     /** Mesh URLs of other routers, used when the instance list cannot be read. @default [] */
     seeds: string[];
-    /** @default 500 */
+    /** Milliseconds between heartbeats. @default 1000 */
     heartbeatMs: number;
-    /** Silence after which a peer is suspect. @default 2000 */
+    /** Milliseconds without a heartbeat after which a peer is suspect. @default 2500 */
     suspectMs: number;
-    /** Silence after which a peer is taken as gone and its holder gets sealed. @default 4000 */
+    /**
+     * Milliseconds without a heartbeat after which a peer counts as gone and its holder is sealed.
+     * @default 5000
+     */
     goneMs: number;
   };
   platform: {
     url: string;
-    /** @default 1500 */
+    /** Longest wait for a reply of the platform, in milliseconds. @default 1500 */
     timeoutMs: number;
   };
   budget: {
-    /** Pages of the ledger; the same for the whole deployment. @default 1 */
+    /** Number of ledger pages; the same for the whole deployment. @default 1 */
     ledgerPages: number;
-    /** Pages of claims, some 4,000 keys each; the same for the whole deployment. @default 16 */
+    /**
+     * Number of claim pages, about 4,000 keys each; the same for the whole deployment.
+     * @default 16
+     */
     claimPages: number;
-    /** Time over which lines are gathered into one journal update. @default 50 */
+    /** Milliseconds over which lines are collected for one journal update. @default 50 */
     groupCommitMs: number;
-    /** Wait for the journal before the witnesses are asked too. @default 60 */
+    /** Milliseconds to wait for the journal before also asking the witnesses. @default 60 */
     witnessAfterMs: number;
-    /** Time between ledger updates of a data centre. @default 1000 */
+    /** Milliseconds between ledger updates of a data centre. @default 1000 */
     ledgerSyncMs: number;
-    /** Longest wait for tokens to arrive before a refusal. @default 400 */
+    /** Longest wait for tokens before a request is refused, in milliseconds. @default 400 */
     reserveWaitMs: number;
   };
   routing: {
-    /** Requests waiting per service before the queue sheds. @default 256 */
+    /** Most requests that wait per service before the queue sheds load. @default 256 */
     maxQueue: number;
-    /** @default 1000 */
+    /** Milliseconds between load probes, and between reads of the instance lists. @default 1000 */
     loadPollMs: number;
-    /** Attempts of one idempotent request, the first included. @default 3 */
+    /** Most attempts of one idempotent request, including the first. @default 3 */
     maxAttempts: number;
   };
   /**
-   * Secret that all routers of a deployment share: signs tickets and authenticates peers.
+   * Secret that all routers of a deployment share. It signs tickets and authenticates peers.
    * At least 16 characters.
    */
   fleetSecret: string;
@@ -73,6 +79,9 @@
   statsd?: { host: string; port: number };
   /** @default 'info' */
   logLevel: 'error' | 'warn' | 'info' | 'debug';
-  /** Longest time a graceful shutdown waits for requests in progress. @default 120000 */
+  /**
+   * Longest time in milliseconds that a graceful shutdown waits for requests in progress.
+   * @default 120000
+   */
   stopTimeoutMs: number;
 }
