--- a/packages/router/src/node/createRouter.ts
+++ b/packages/router/src/node/createRouter.ts
@@ -1,4 +1,4 @@
-/** Wires the services of one router. */
+/** Creates and connects the services of one router. */
 
 import type { Clock, EventLog, Metrics } from '@flamingocourse/kernel';
 import type { RouterContext } from '../types/routerContext.js';
@@ -14,29 +14,29 @@
 import { RequestRunner } from './entry/requestRunner.js';
 import { ConfigurationService } from './fleet/configurationService.js';
 import { FleetService } from './fleet/fleetService.js';
-import { HintedQuarantine, MeshMoneyPeers, serveMoney } from './meshAdapters.js';
+import { MeshQuarantineExchange, MeshMoneyPeers, serveMoney } from './meshAdapters.js';
 import { MeshHints } from './meshHints.js';
 import { MoneyService } from './money/moneyService.js';
 import { MoneyObjectStore, PlatformInstances } from './platformAdapters.js';
 
-/** What a router gets from its process. */
+/** Options of {@link createRouter}. */
 export interface RouterOptions {
   settings: RouterSettings;
   clock: Clock;
   log: EventLog;
-  /** Numbers from 0 to 1 for the choice of servers. */
+  /** Returns numbers from 0 to 1 for the choice of servers. */
   random: () => number;
 }
 
-/** A router that can be started and stopped as a whole. */
+/** A router with all its services. */
 export interface Router {
   start(): Promise<void>;
-  /** Graceful shutdown: refuses new requests, ends those in progress, hands budgets back. */
+  /** Graceful shutdown: refuses new requests, completes running ones, returns budgets. */
   stop(): Promise<void>;
 }
 
 /**
- * Creates a router from its settings; nothing runs before `start`.
+ * Creates a router from its settings. Nothing runs until `start` is called.
  *
  * @example
  * const router = createRouter({ settings, clock: new SystemClock(), log, random: Math.random });
@@ -78,14 +78,14 @@
       new BackendService({
         context,
         instances: new PlatformInstances(store),
-        quarantine: new HintedQuarantine(hints),
+        quarantine: new MeshQuarantineExchange(hints),
         drains,
         random: options.random,
       }),
     )
     .register(requests)
     .register(entry);
-  // one service's failure must not take the others down: the router serves what it still can.
+  // The failure of one service must not stop the others: the router continues with what still works.
   kernel.onFailure((err, service) => {
     log.write('service-failed', { service, error: describeError(err) });
   });
--- a/packages/router/src/node/fleet/configurationService.ts
+++ b/packages/router/src/node/fleet/configurationService.ts
@@ -1,6 +1,6 @@
 /**
- * Configuration in force at this router. One router of each data centre, the relay, watches the
- * platform; the others ask a peer as soon as its heartbeat shows a higher revision.
+ * Maintains the configuration in force at this router. One router of each data centre, the relay,
+ * watches the platform. The others pull changes from a peer whose heartbeat shows a higher revision.
  */
 
 import type {
@@ -43,15 +43,18 @@
 import { Fleet } from '../../types/fleet.js';
 import { createConfigurationView } from './configurationView.js';
 
-/** Time between two looks at the peers' revisions; a look is local and costs no message. */
-const lookMs = 150;
+/** Milliseconds between checks of the peers' revisions; a check is local and sends no message. */
+const checkIntervalMs = 150;
 const pullTimeoutMs = 1_000;
-/** Pulls at a start while a peer is known to know more; with their timeout some seconds in all. */
+/**
+ * Most pulls at startup while a peer has a higher revision. With the timeout of a pull, this limits
+ * the time to a few seconds in total.
+ */
 const maxStartPulls = 6;
-/** Time between two tries to read the platform while nothing at all is in force. */
+/** Milliseconds between attempts to read the platform while no configuration is in force. */
 const emptyRetryMs = 1_000;
 
-/** What the configuration service is created with. */
+/** Options of {@link ConfigurationService}. */
 export interface ConfigurationServiceOptions {
   context: RouterContext;
   mesh: MeshClient;
@@ -75,11 +78,11 @@
   #fleet: Fleet | undefined;
   #known = createConfigStore();
   #view: ConfigurationView = createConfigurationView(resolveEffectiveConfig(this.#known));
-  /** Sentences of the findings that were logged. */
+  /** Details of the findings that have been logged. */
   #reported: ReadonlySet<string> = new Set();
-  /** Objects whose last good version is wanted, and the peers that were asked for it. */
-  #wantedGood = '';
-  #askedForGood = new Set<IncarnationId>();
+  /** Objects whose last good version is missing, joined, and the peers already asked for it. */
+  #wantedLastGood = '';
+  #askedForLastGood = new Set<IncarnationId>();
   #relay: Subscription | undefined;
   #pulling = false;
   #failedPulls = 0;
@@ -139,14 +142,18 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Reads the platform and the peer that knows most, so that a restart never serves older objects. */
+  /**
+   * Reads the platform and the peer with the highest revision, so that a restarted router does not
+   * serve older objects.
+   */
   override async start(kernel: Kernel): Promise<void> {
     this.#fleet = kernel.get('fleet', Fleet);
     const server = kernel.get('mesh', MeshServer);
     server.handle('pullConfiguration', ({ since }) => Result.ok(updateSince(this.#known, since)));
     await Promise.all([this.#readPlatform(), this.#pullFromPeers()]);
-    // what the platform told may have hidden that a peer knew more, and the other way round. A peer
-    // that does not answer in time is no reason to begin with settings that were taken back.
+    // The platform's list may be stale, and the peer that was pulled may lag behind another. A peer
+    // that does not answer in time must not make this router start with an older configuration, so
+    // it pulls again while a peer has a higher revision.
     for (let pulls = 0; pulls < maxStartPulls && this.#choosePeer(); pulls += 1) {
       await this.#pullFromPeers();
     }
@@ -171,11 +178,11 @@
       if (this.revision === 0 && this.#now() - this.#listedAt > emptyRetryMs) {
         void this.#readPlatform();
       }
-      yield* takeWithin(this.#stopped, lookMs);
+      yield* takeWithin(this.#stopped, checkIntervalMs);
     }
   }
 
-  /** Begins or ends the relay's watch, as the members of the data centre come and go. */
+  /** Starts or stops the relay's watch when members of the data centre join or leave. */
   #updateRelay(): void {
     const fleet = this.#fleet;
     if (!fleet) return;
@@ -190,7 +197,7 @@
     this.#relay = this.#store.watch(this.#collection, {
       ...from,
       onEvent: (event) => {
-        this.#takeEvent(event);
+        this.#handleEvent(event);
       },
     });
   }
@@ -200,10 +207,10 @@
     this.#relay = undefined;
   }
 
-  #takeEvent(event: WatchEvent<DeclaredBody>): void {
+  #handleEvent(event: WatchEvent<DeclaredBody>): void {
     switch (event.type) {
       case 'listed':
-        this.#takeList(event.list);
+        this.#handleList(event.list);
         return;
       case 'changed': {
         const object = toDeclaredObject(event.object);
@@ -226,14 +233,14 @@
   async #readPlatform(): Promise<void> {
     this.#listedAt = this.#now();
     const list = await this.#store.list(this.#collection);
-    if (list.isOk) this.#takeList(list.value);
+    if (list.isOk) this.#handleList(list.value);
   }
 
-  #takeList(list: ObjectList<DeclaredBody>): void {
+  #handleList(list: ObjectList<DeclaredBody>): void {
     const objects = list.items.map(toDeclaredObject);
     for (const name of list.invalid) {
       this.#context.log.write('declaration-unreadable', { object: name });
-      // an object that cannot be read still exists: its last good version must not be deleted.
+      // An object that cannot be read still exists, so its last good version must not be deleted.
       const lastGood = this.#known.objects.get(name);
       if (lastGood) objects.push(lastGood);
     }
@@ -241,7 +248,7 @@
   }
 
   async #pullFromPeers(): Promise<void> {
-    const peer = this.#choosePeer() ?? this.#choosePeerForGood();
+    const peer = this.#choosePeer() ?? this.#choosePeerForLastGood();
     if (!peer || this.#pulling) return;
     this.#pulling = true;
     const since = this.revision;
@@ -250,14 +257,17 @@
     this.#pulling = false;
     if (update.isErr) {
       this.#failedPulls += 1;
-      this.#askedForGood.delete(peer.info.incarnation);
+      this.#askedForLastGood.delete(peer.info.incarnation);
       return;
     }
     this.#failedPulls = 0;
     this.#merge(update.value);
   }
 
-  /** A peer that knows more, of the own data centre first; another one after each failure. */
+  /**
+   * Chooses a peer with a higher revision, from the own data centre first. Each failed pull selects
+   * the next one.
+   */
   #choosePeer(): Peer | undefined {
     const fleet = this.#fleet;
     if (!fleet) return undefined;
@@ -271,20 +281,21 @@
   }
 
   /**
-   * A peer to ask for the version that a mistake replaced, or none. The platform has only newest
-   * versions, so a router that was started after the mistake would refuse a class that its peers go
-   * on serving. Each peer is asked once, because those that started late too have nothing to tell.
+   * Chooses a peer to ask for the last good version of an object that is now invalid. The platform
+   * stores only the newest version, so a router that started after the invalid change would refuse a
+   * class that its peers still serve. Each peer is asked once, because a peer that also started later
+   * does not have the version either.
    */
-  #choosePeerForGood(): Peer | undefined {
+  #choosePeerForLastGood(): Peer | undefined {
     const wanted = missingLastGood(this.#known).join();
-    if (wanted !== this.#wantedGood) this.#askedForGood.clear();
-    this.#wantedGood = wanted;
+    if (wanted !== this.#wantedLastGood) this.#askedForLastGood.clear();
+    this.#wantedLastGood = wanted;
     if (wanted === '' || this.#pulling) return undefined;
     const peers = this.#fleet?.peers() ?? [];
     const peer = peers.find(
-      ({ info, health }) => health !== 'gone' && !this.#askedForGood.has(info.incarnation),
+      ({ info, health }) => health !== 'gone' && !this.#askedForLastGood.has(info.incarnation),
     );
-    if (peer) this.#askedForGood.add(peer.info.incarnation);
+    if (peer) this.#askedForLastGood.add(peer.info.incarnation);
     return peer;
   }
 
--- a/packages/router/src/node/fleet/configurationView.ts
+++ b/packages/router/src/node/fleet/configurationView.ts
@@ -1,4 +1,4 @@
-/** Declarations in force, indexed for the request path. */
+/** Indexes the declarations in force for the request path. */
 
 import type {
   ClientAccountDeclaration,
@@ -8,7 +8,7 @@
   WorkClassDeclaration,
 } from '@flamingocourse/core';
 
-/** Indexes over one state of the configuration. */
+/** Indexes of one state of the configuration. */
 export interface ConfigurationView {
   deployment: DeploymentDeclaration;
   accounts: ReadonlyMap<string, ClientAccountDeclaration>;
@@ -19,8 +19,8 @@
 }
 
 /**
- * Builds the indexes. Where two objects claim one key or model, the first by name has it, so that
- * all routers decide the same.
+ * Builds the indexes. If two objects declare the same key or model, the first by name gets it, so
+ * that all routers decide the same.
  */
 export function createConfigurationView(config: EffectiveConfig): ConfigurationView {
   const accounts = sortByName(config.accounts);
--- a/packages/router/src/node/fleet/fleetService.ts
+++ b/packages/router/src/node/fleet/fleetService.ts
@@ -1,4 +1,7 @@
-/** Membership of the fleet: heartbeats over the mesh, addresses from seeds and the instance list. */
+/**
+ * Membership of the fleet. Routers exchange heartbeats over the mesh; addresses come from the seeds
+ * and the instance list.
+ */
 
 import type { EpochMs, IncarnationId, MemberInfo, PeerHealth } from '@flamingocourse/core';
 import type { Kernel, Steps } from '@flamingocourse/kernel';
@@ -13,19 +16,19 @@
 import { Fleet } from '../../types/fleet.js';
 import { MembershipTable } from './membershipTable.js';
 
-/** Name of the routers' own service in the platform's instance list. */
+/** Name under which the platform's instance list contains the routers. */
 export const routerInstanceList = 'flamingocourse-router';
 
 const incarnationBytes = 6;
-/** Own incarnations remembered, so that calls meant for an earlier one still find this process. */
+/** Most own incarnations kept, so that calls to an earlier one still reach this process. */
 const maxOwnIncarnations = 64;
-/** Time between two readings of the instance list by the one router that reads it. */
+/** Milliseconds between reads of the instance list. */
 const instanceListMs = 5_000;
 
-/** Least time between two beats, however often there is news. */
-const newsGapMs = 100;
+/** Milliseconds from a revision change to the additional beat, so that frequent changes share one. */
+const revisionBeatDelayMs = 100;
 
-/** What the fleet service is created with. */
+/** Options of {@link FleetService}. */
 export interface FleetServiceOptions {
   context: RouterContext;
   mesh: MeshClient;
@@ -33,8 +36,8 @@
 }
 
 /**
- * Service `fleet`. After its start each reachable seed has been greeted once, so that a router that
- * restarts knows what its peers know before it serves.
+ * Service `fleet`. Its start sends one heartbeat to each known address and waits for the answers, so
+ * that a restarted router knows what its peers know before it serves.
  *
  * @example
  * kernel.register(new FleetService({ context, mesh: new MeshClient(), store }));
@@ -47,10 +50,10 @@
   readonly #listeners = new Set<(peer: Peer) => void>();
   readonly #health = new Map<IncarnationId, PeerHealth>();
   readonly #ownIncarnations: IncarnationId[] = [];
-  /** Addresses with a heartbeat under way; a silent one is not sent a second. */
-  readonly #underWay = new Set<string>();
-  /** Wakes the loop before its next beat; closed at the stop. */
-  readonly #news = new Channel<true>(1, 'drop-newest');
+  /** Addresses with a heartbeat in flight; regular beats send no second one to them. */
+  readonly #inFlight = new Set<string>();
+  /** Wakes the loop before its next beat; closed when the service stops. */
+  readonly #wakeUps = new Channel<true>(1, 'drop-newest');
   readonly #table: MembershipTable;
   #instancesReadAt: EpochMs = Number.NEGATIVE_INFINITY;
   #loop: Promise<void> = Promise.resolve();
@@ -75,7 +78,7 @@
       this.#table.observe(unpackHeartbeat(message), this.#now());
       return Result.ok(packHeartbeat(this.#table.compose(this.#now())));
     });
-    // the port, and with it the address, may be known only once the listener is up.
+    // With port 0 the system chooses the port, so the address is known only after the listen call.
     if (this.#context.settings.mesh.port === 0) this.#table.updateSelf({ meshUrl: server.url });
     await this.#readInstances();
     await this.#sendHeartbeats(() => true);
@@ -88,9 +91,9 @@
   }
 
   override async stop(): Promise<void> {
-    this.#news.close();
+    this.#wakeUps.close();
     await this.#loop;
-    // a last word, so that peers move this router's duties at once and not after its silence.
+    // A final heartbeat lets peers take over this router's duties immediately, without a timeout.
     this.#table.updateSelf({ state: 'leaving' });
     this.#table.tick(this.#now());
     await this.#sendHeartbeats(() => true);
@@ -107,10 +110,10 @@
     this.#table.updateSelf({ state });
   }
 
-  /** Tells peers of the own data centre at once, so that a change need not wait for the next beat. */
+  /** Sets the revision and triggers an additional beat to peers that have an older one. */
   override setRevision(revision: number): void {
     this.#table.updateSelf({ revision });
-    this.#news.offer(true);
+    this.#wakeUps.offer(true);
   }
 
   override peers(): Peer[] {
@@ -140,28 +143,28 @@
   *#run(): Steps<void> {
     const { heartbeatMs } = this.#context.settings.mesh;
     let beatAt = this.#now();
-    while (!this.#news.closed) {
+    while (!this.#wakeUps.closed) {
       if (this.#now() >= beatAt) {
         const recent = this.#table.recentlyExchanged(heartbeatMs, this.#now());
         this.#beat((url) => !recent.has(url));
         beatAt = this.#now() + heartbeatMs;
       }
-      const waited = yield* takeWithin(this.#news, beatAt - this.#now());
+      const waited = yield* takeWithin(this.#wakeUps, beatAt - this.#now());
       if (waited.type !== 'value') continue;
-      yield* sleep(newsGapMs);
-      this.#beat((url) => this.#isBehind(url));
+      yield* sleep(revisionBeatDelayMs);
+      this.#beat((url) => this.#hasOlderRevision(url));
     }
   }
 
   #beat(isWanted: (meshUrl: string) => boolean): void {
     this.#table.tick(this.#now());
-    void this.#sendHeartbeats((url) => isWanted(url) && !this.#underWay.has(url));
+    void this.#sendHeartbeats((url) => isWanted(url) && !this.#inFlight.has(url));
     if (this.#mayReadInstances()) void this.#readInstances();
     this.#reportChanges();
   }
 
-  /** Whether the router at an address has an older configuration, as far as is known. */
-  #isBehind(meshUrl: string): boolean {
+  /** Whether the router at an address has an older configuration, by its last known heartbeat. */
+  #hasOlderRevision(meshUrl: string): boolean {
     const { revision } = this.self;
     return this.peers().some(({ info }) => info.meshUrl === meshUrl && info.revision < revision);
   }
@@ -174,16 +177,17 @@
   }
 
   async #sendHeartbeat(meshUrl: string, message: PackedHeartbeat): Promise<void> {
-    this.#underWay.add(meshUrl);
+    this.#inFlight.add(meshUrl);
     const timeoutMs = this.#context.settings.mesh.suspectMs / 2;
     const answer = await this.#mesh.call({ meshUrl }, 'heartbeat', message, { timeoutMs });
-    this.#underWay.delete(meshUrl);
+    this.#inFlight.delete(meshUrl);
     if (answer.isOk) this.#table.observe(unpackHeartbeat(answer.value), this.#now());
   }
 
   /**
-   * The platform counts each call, so a router reads the list for its whole data centre; the others
-   * learn of new routers by heartbeat. A router that hears nobody reads it for itself.
+   * Whether this router reads the instance list now. The platform counts each call, so one router
+   * reads the list for its data centre and the others learn of new routers from heartbeats. A router
+   * without a live peer in its data centre reads the list itself.
    */
   #mayReadInstances(): boolean {
     if (this.#now() - this.#instancesReadAt < instanceListMs) return false;
@@ -228,8 +232,8 @@
 
   #newIncarnation(): IncarnationId {
     const { dataCentre, instance } = this.#context.settings;
-    const life = randomBytes(incarnationBytes).toString('hex');
-    const incarnation = `${dataCentre}/${instance}/${life}`;
+    const suffix = randomBytes(incarnationBytes).toString('hex');
+    const incarnation = `${dataCentre}/${instance}/${suffix}`;
     this.#ownIncarnations.push(incarnation);
     if (this.#ownIncarnations.length > maxOwnIncarnations) this.#ownIncarnations.shift();
     return incarnation;
--- a/packages/router/src/node/fleet/membershipTable.ts
+++ b/packages/router/src/node/fleet/membershipTable.ts
@@ -1,4 +1,4 @@
-/** Keeps the state of the membership reducer for the fleet service, which carries the messages. */
+/** Holds the state of core's membership reducer for the fleet service, which sends the messages. */
 
 import type {
   EpochMs,
@@ -22,18 +22,18 @@
   updateSelf,
 } from '@flamingocourse/core';
 
-/** Members as known to one router. */
+/** Members that one router knows. */
 export class MembershipTable {
   readonly #seeds: readonly string[];
   #state: MembershipState;
 
-  /** @param seeds mesh URLs from the settings, tried also when the instance list lacks them. */
+  /** @param seeds mesh URLs from the settings, also tried if the instance list omits them. */
   constructor(self: MemberInfo, settings: MembershipSettings, seeds: readonly string[]) {
     this.#seeds = seeds;
     this.#state = createMembership(self, settings, seeds);
   }
 
-  /** This router; its beat rises with each tick. */
+  /** This router; its beat increases with each tick. */
   get self(): MemberInfo {
     return this.#state.self;
   }
@@ -42,17 +42,17 @@
     this.#state = updateSelf(this.#state, change);
   }
 
-  /** Takes in a heartbeat or the answer to one. */
+  /** Applies a heartbeat or the answer to one. */
   observe(message: Heartbeat, now: EpochMs): void {
     this.#state = observeHeartbeat(this.#state, message, now);
   }
 
-  /** Takes in the platform's lagging list of routers: addresses to try, nothing more. */
+  /** Applies the platform's list of routers. The list lags, so it only gives addresses to try. */
   observeInstances(records: readonly InstanceRecord[]): void {
     this.#state = observeInstanceList(this.#state, records, this.#seeds);
   }
 
-  /** Lets time pass by one beat. */
+  /** Advances the state by one beat. */
   tick(now: EpochMs): void {
     this.#state = tickMembership(this.#state, now);
   }
@@ -61,22 +61,22 @@
     return judgeMembers(this.#state, now);
   }
 
-  /** Mesh URLs that get this beat's heartbeat; bounded. */
+  /** Mesh URLs to send this beat's heartbeat to; their number is bounded. */
   targets(now: EpochMs): string[] {
     return heartbeatTargets(this.#state, now);
   }
 
-  /** Mesh URLs that need no heartbeat at this beat. */
+  /** Mesh URLs that need no heartbeat at this beat because of a recent exchange. */
   recentlyExchanged(heartbeatMs: number, now: EpochMs): ReadonlySet<string> {
     return recentlyExchanged(this.#state, heartbeatMs, now);
   }
 
-  /** This beat's heartbeat. */
+  /** Returns the heartbeat message of this beat. */
   compose(now: EpochMs): Heartbeat {
     return composeHeartbeat(this.#state, now);
   }
 
-  /** Member of the own data centre, self included, that a key maps to. */
+  /** Member of the own data centre, self included, to which a key maps. */
   localOwner(key: string, now: EpochMs): MemberInfo {
     return resolveLocalOwner(this.#state, key, now);
   }
--- a/packages/router/src/node/main.ts
+++ b/packages/router/src/node/main.ts
@@ -1,4 +1,4 @@
-/** Entry point of `flamingocourse-router`. */
+/** Entry point of the `flamingocourse-router` command. */
 
 import type { RouterSettings } from '../types/routerSettings.js';
 import { describeError, SystemClock, WinstonEventLog } from '@flamingocourse/kernel';
@@ -42,7 +42,7 @@
   const { instance, dataCentre } = settings;
   const log = new WinstonEventLog({ level: settings.logLevel, defaults: { instance, dataCentre } });
   const router = createRouter({ settings, clock: new SystemClock(), log, random: Math.random });
-  // a second signal must not start a second shutdown while the first one still lets requests end.
+  // A second signal must not start a second shutdown while the first one waits for requests.
   let stopping = false;
   const stop = (): void => {
     if (stopping) return;
--- a/packages/router/src/node/meshAdapters.ts
+++ b/packages/router/src/node/meshAdapters.ts
@@ -1,4 +1,4 @@
-/** Carries the questions of the budget services and the quarantine's hints over the mesh. */
+/** Connects the budget services and the quarantine to their peers over the mesh. */
 
 import type {
   AccountId,
@@ -26,12 +26,12 @@
 
 const QUARANTINE_TOPIC = 'quarantine';
 
-/** Finds a peer by incarnation and calls it. */
+/** Calls the budget services of peers, which it finds by their incarnation. */
 export class MeshMoneyPeers implements MoneyPeers {
   readonly #client: MeshClient;
   readonly #fleet: () => Fleet;
 
-  /** @param fleet looked up late, because the fleet starts after this object is made. */
+  /** @param fleet called on each use, because the fleet service starts after this constructor. */
   constructor(client: MeshClient, fleet: () => Fleet) {
     this.#client = client;
     this.#fleet = fleet;
@@ -76,7 +76,7 @@
   }
 }
 
-/** Serves the budget services' procedures to peers. */
+/** Registers the mesh procedures through which peers call the budget services. */
 export function serveMoney(mesh: MeshServer, money: MoneyPeerHandler): void {
   mesh.handle('appendLines', async ({ lines }) => {
     const appended = await money.handleAppendLines(lines);
@@ -95,8 +95,8 @@
   });
 }
 
-/** Quarantine news as hints. */
-export class HintedQuarantine implements QuarantineExchange {
+/** Exchanges the quarantine state as hints. */
+export class MeshQuarantineExchange implements QuarantineExchange {
   readonly #hints: MeshHints;
 
   constructor(hints: MeshHints) {
@@ -110,7 +110,7 @@
   onNews(listener: (news: QuarantineNews) => void): void {
     this.#hints.on(QUARANTINE_TOPIC, (value) => {
       const state = quarantineSchema.safeParse(value);
-      // zod types an absent key as `undefined`; JSON has no such value, so the shapes agree.
+      // zod types an absent key as `undefined`; JSON has no such value, so the cast is safe.
       if (state.success) listener({ type: 'state', state: state.data as QuarantineState });
     });
   }
--- a/packages/router/src/node/meshHints.ts
+++ b/packages/router/src/node/meshHints.ts
@@ -1,48 +1,48 @@
 /**
- * Hints to the peers of the own data centre, by topic. A hint may be lost, late or doubled: it only
- * spares requests or time, and no promise rests on it.
+ * Hints between the routers of one data centre, by topic. A hint may be lost, late or duplicated. It
+ * only saves requests or time; no guarantee depends on it.
  */
 
 import type { MeshClient, MeshServer } from '@flamingocourse/mesh';
 import type { Fleet } from '../types/fleet.js';
 import { Result } from 'true-myth';
 
-/** Sends and receives hints. */
+/** Sends hints to peers and delivers received hints to listeners. */
 export class MeshHints {
   readonly #client: MeshClient;
   readonly #fleet: () => Fleet;
   readonly #listeners = new Map<string, ((value: unknown) => void)[]>();
 
-  /** @param fleet looked up late, because the fleet starts after this object is made. */
+  /** @param fleet called on each use, because the fleet service starts after this constructor. */
   constructor(client: MeshClient, fleet: () => Fleet) {
     this.#client = client;
     this.#fleet = fleet;
   }
 
-  /** Sends a value to all peers of the own data centre, without waiting. */
+  /** Sends a value to all live peers of the own data centre without waiting for answers. */
   publish(topic: string, value: unknown): void {
     const hints = [{ topic, body: JSON.stringify(value) }];
     for (const { info } of this.#fleet().localPeers()) {
       const { meshUrl, incarnation } = info;
-      // a lost hint is made good by the next one, which carries the whole state again.
+      // No retry: the next hint carries the complete state again.
       void this.#client.call({ meshUrl, incarnation }, 'shareHints', { hints });
     }
   }
 
-  /** Calls back with each value of a topic; the listener checks its shape. */
+  /** Registers a listener for a topic. The listener must validate the values. */
   on(topic: string, listener: (value: unknown) => void): void {
     this.#listeners.set(topic, [...(this.#listeners.get(topic) ?? []), listener]);
   }
 
-  /** Takes hints from peers. */
+  /** Registers the mesh procedure that receives hints from peers. */
   serve(mesh: MeshServer): void {
     mesh.handle('shareHints', ({ hints }) => {
-      for (const { topic, body } of hints) this.#take(topic, body);
+      for (const { topic, body } of hints) this.#deliver(topic, body);
       return Result.ok('taken');
     });
   }
 
-  #take(topic: string, body: string): void {
+  #deliver(topic: string, body: string): void {
     const value = parseBody(body);
     if (value === undefined) return;
     for (const listener of this.#listeners.get(topic) ?? []) listener(value);
--- a/packages/router/src/node/platformAdapters.ts
+++ b/packages/router/src/node/platformAdapters.ts
@@ -1,4 +1,4 @@
-/** Shows the platform's client to the budget services and to placement in the shape they need. */
+/** Adapts the platform's client to the interfaces of the budget services and of placement. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type {
@@ -77,7 +77,7 @@
 
 function toCollection(name: string): Collection<unknown> {
   if (!isCollectionName(name)) {
-    throw new RangeError(`"${name}" is no collection of the budget services`);
+    throw new RangeError(`"${name}" is not a collection of the budget services`);
   }
   return { name, schema: z.unknown() };
 }
@@ -93,8 +93,8 @@
 }
 
 function toStoreError(err: PlatformError): ports.StoreError {
-  // a throttled call had no effect; treating it as unreachable makes the caller read again, which
-  // is safe, and use its witnesses meanwhile.
+  // A throttled call had no effect. Mapping it to `unreachable` makes the caller read again, which is
+  // safe, and use its witnesses in the meantime.
   const code = err.code === 'throttled' ? 'unreachable' : err.code;
   return { code, message: err.message };
 }
--- a/packages/router/src/node/resolveConfig.ts
+++ b/packages/router/src/node/resolveConfig.ts
@@ -1,4 +1,4 @@
-/** Reads the settings file of a router, checks it and fills in the defaults. */
+/** Reads and validates the settings file of a router and fills in the defaults. */
 
 import type { JsoncDocument, JsoncPath, SourceFault } from '@flamingocourse/core';
 import type { ListenAddress, RouterSettings } from '../types/routerSettings.js';
@@ -11,7 +11,7 @@
 
 export type SettingsErrorCode = 'unreadable' | 'invalid';
 
-/** The settings file cannot be used; the message has one line for each fault. */
+/** The settings file cannot be used. The message has one line per fault. */
 export class SettingsError extends LayerError<SettingsErrorCode> {
   override readonly layer = 'settings';
   readonly faults: readonly SourceFault[];
@@ -43,7 +43,7 @@
 }
 
 /**
- * Checks the text of a settings file and fills in the defaults.
+ * Validates the text of a settings file and fills in the defaults.
  *
  * @example
  * const settings = parseSettings('{ "instance": "router-1", ... }', 'router.jsonc');
@@ -62,10 +62,10 @@
     });
 }
 
-/** Stands for the secret where settings are shown. */
+/** Replaces the secret in printed settings. */
 const hiddenSecret = '(set and not shown)';
 
-/** Writes settings as JSON for `flamingocourse-router --print-settings`, without the secret. */
+/** Formats settings as JSON for `flamingocourse-router --print-settings`, without the secret. */
 export function printSettings(settings: RouterSettings): string {
   return JSON.stringify({ ...settings, fleetSecret: hiddenSecret }, null, 2);
 }
@@ -80,7 +80,7 @@
 ): Result<WrittenSettings, SourceFault[]> {
   const { entry, mesh } = written;
   const faults: SourceFault[] = [];
-  // a peer that is suspect between two heartbeats would be sealed while it is alive
+  // Otherwise a live peer would become suspect between two heartbeats and could be sealed.
   if (mesh.suspectMs <= mesh.heartbeatMs) {
     const message = `suspectMs (${mesh.suspectMs}) is not above heartbeatMs (${mesh.heartbeatMs})`;
     faults.push(faultAt(document, ['mesh', 'suspectMs'], message, 'Raise suspectMs.'));
--- a/packages/router/src/utils/settingsDefaults.ts
+++ b/packages/router/src/utils/settingsDefaults.ts
@@ -1,6 +1,6 @@
-/** Defaults of all router settings that have one. */
+/** Default values of the router settings. */
 
-/** The one place of the defaults; docs/SETTINGS.md lists them and a test compares both. */
+/** All defaults are defined here. docs/SETTINGS.md lists them, and a test compares both. */
 export const settingsDefaults = {
   entry: {
     host: '127.0.0.1',
--- a/packages/router/src/utils/settingsSchema.ts
+++ b/packages/router/src/utils/settingsSchema.ts
@@ -1,4 +1,4 @@
-/** Schema of the router's settings file; each description says what to write there. */
+/** Schema of the router's settings file. Each description says which values are valid. */
 
 import { settingsDefaults as defaults } from './settingsDefaults.js';
 import { z } from 'zod';
@@ -14,7 +14,7 @@
 
 const host = z.string().min(1).describe('the IP number to listen on, such as "10.0.0.7"');
 
-// port 0 lets the system choose a free port, which is useful in tests only
+// Port 0 lets the system choose a free port, which is useful only in tests.
 const port = z.int().min(0).max(maxPort).describe('a port number from 0 to 65535');
 
 const url = (text: string): z.ZodURL =>
@@ -45,13 +45,13 @@
   seeds: z
     .array(url('mesh of another router'))
     .max(64)
-    .describe('an array of mesh URLs of other routers, used while the instance list is out')
+    .describe('an array of mesh URLs of other routers, used if the instance list cannot be read')
     .default([...defaults.mesh.seeds]),
   heartbeatMs: milliseconds('time between heartbeats').default(defaults.mesh.heartbeatMs),
   suspectMs: milliseconds('silence after which a peer is suspect').default(defaults.mesh.suspectMs),
-  goneMs: milliseconds('silence after which a peer is taken as gone and gets sealed').default(
-    defaults.mesh.goneMs,
-  ),
+  goneMs: milliseconds(
+    'silence after which a peer counts as gone and its holder is sealed',
+  ).default(defaults.mesh.goneMs),
 });
 
 const platformSchema = z.strictObject({
@@ -126,14 +126,14 @@
   })
   .describe('an object');
 
-/** Settings as written, with defaults that need no other setting. */
+/** Settings from the file, with those defaults filled in that do not depend on other settings. */
 export type WrittenSettings = z.infer<typeof settingsSchema>;
 
-/** One setting as documented. */
+/** Documentation of one setting. */
 export interface SettingDescription {
   /** Dotted path, such as `mesh.heartbeatMs`. */
   path: string;
-  /** JSON of the default, or undefined where there is none. */
+  /** Default value as JSON; undefined if there is none. */
   defaultJson: string | undefined;
   text: string;
 }
--- a/test/fleet/changeRecorder.test.ts
+++ b/test/fleet/changeRecorder.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { ChangeRecorder } from '../../packages/lab/src/node/configMeasure/changeRecorder.js';
 
-/** A router whose account has the given opening budgets, one after the other. */
+/** Creates a router whose account gets the opening budgets passed to `show`, one after another. */
 function createRouter(): { router: MeasuredRouter; show: (openingTokens?: number) => void } {
   let accounts: { name: string; openingTokens: number }[] = [];
   let listener = (): void => undefined;
--- a/test/fleet/configStore.test.ts
+++ b/test/fleet/configStore.test.ts
@@ -48,7 +48,7 @@
   );
 }
 
-/** Takes objects in as a watch brings them: each covers all changes up to its own revision. */
+/** Merges objects as a watch delivers them: each covers all changes up to its own revision. */
 function take(store: ConfigStore, objects: DeclaredObject[]): ConfigStore {
   return objects.reduce(
     (next, object) =>
@@ -66,9 +66,9 @@
   return Object.fromEntries(workClasses.map((item) => [item.name, item.budgetShare]));
 }
 
-describe('never falls back', () => {
-  // a class answers by its old target again: a restarted relay read a stale copy of the platform and
-  // passed it on as news.
+describe('old data', () => {
+  // Guards against a class that gets its old target again, because a restarted relay read a stale
+  // copy of the platform and passed it on as a change.
   test('a stale read after a restart changes nothing', () => {
     const state = storeOf([service('llm', 1), workClass('drafts', 5, 'llm', 0.8)]);
     const after = take(state, [workClass('drafts', 4, 'llm', 0.1)]);
@@ -76,13 +76,13 @@
     assert.deepEqual(shares(after), { drafts: 0.8 });
   });
 
-  test('a deleted object does not come back from an older list', () => {
+  test('an older list does not restore a deleted object', () => {
     const deletion: DeclaredObject = { kind: 'WorkClass', name: 'drafts', revision: 6 };
     const state = storeOf([service('llm', 1), workClass('drafts', 5)], [deletion]);
     assert.deepEqual(shares(take(state, [workClass('drafts', 5)])), {});
   });
 
-  test('any order and any repetition of messages ends in the same objects', () => {
+  test('messages in any order, also repeated, result in the same objects', () => {
     const object = fc
       .tuple(fc.constantFrom('a', 'b', 'c'), fc.integer({ min: 1, max: 30 }))
       .map(([name, revision]) => service(name, revision));
@@ -101,14 +101,14 @@
 describe('delta', () => {
   const all = [service('llm', 1), workClass('drafts', 2), workClass('stock', 3)];
 
-  test('a peer that is behind gets only what is newer', () => {
+  test('a peer with an older revision gets only newer objects', () => {
     const peer = storeOf(all.slice(0, 2));
     assert.deepEqual(updateSince(storeOf(all), peer.asOf).objects, [all[2]]);
   });
 
-  // one router keeps an old target for ever: it learned revision 3 from a peer that covered only
-  // revision 1, missed revision 2, and asks only for what is above 3.
-  test('a peer that missed one in between gets it too', () => {
+  // Guards against a router that keeps an old target forever, because it received revision 3 from a
+  // peer that covered only revision 1, missed revision 2, and then asks only for revisions above 3.
+  test('a peer that missed a revision in between gets it too', () => {
     const objects = [all[0], all[2]].flatMap((object) => object ?? []);
     const behind = mergeUpdate(createConfigStore(), { asOf: 1, objects, complete: false });
     const merged = mergeUpdate(behind, updateSince(storeOf(all), behind.asOf));
@@ -116,8 +116,8 @@
   });
 });
 
-describe('contained mistakes', () => {
-  // volunteers get no answers at all: a seasonal operator mistyped the service of one class.
+describe('invalid declarations', () => {
+  // Guards against a class that refuses all requests because an operator mistyped its service.
   test('a class with an unknown service keeps its last good version', () => {
     const good = [service('llm', 1), workClass('drafts', 2, 'llm', 0.3), workClass('stock', 3)];
     const state = storeOf(good, [workClass('drafts', 4, 'lmm', 0.9)]);
@@ -126,7 +126,7 @@
     assert.deepEqual(findings, ['WorkClass.drafts']);
   });
 
-  test('the mended class comes into force', () => {
+  test('a corrected class comes into force', () => {
     const state = storeOf([service('llm', 1), workClass('drafts', 2, 'lmm')]);
     assert.deepEqual(shares(state), {});
     assert.deepEqual(shares(take(state, [service('lmm', 3)])), { drafts: 0.5 });
@@ -143,9 +143,9 @@
     assert.equal(copy.asOf, state.asOf);
   });
 
-  // a class is refused by one router and served by the others: that router started on the platform's
-  // list alone, which has only the newest version, a mistake.
-  test('a router that knows the newest gets the last good version all the same', () => {
+  // Guards against a class that one router refuses and the others serve, because that router started
+  // from the platform's list, which contains only the newest, invalid version.
+  test('a router that has the newest version still gets the last good one', () => {
     const state = storeOf(
       [service('llm', 1), workClass('drafts', 2)],
       [workClass('drafts', 4, 'x')],
@@ -158,14 +158,14 @@
     assert.deepEqual(missingLastGood(mended), []);
   });
 
-  test('a last good version from a peer never replaces a newest version that is good', () => {
+  test('a last good version from a peer never replaces a valid newest version', () => {
     const state = storeOf([service('llm', 1), workClass('drafts', 4, 'llm', 0.7)]);
     const lastGood = [workClass('drafts', 2, 'llm', 0.1), workClass('gone', 9)];
     const after = mergeUpdate(state, { asOf: 4, objects: [], complete: false, lastGood });
     assert.deepEqual(shares(after), { drafts: 0.7 });
   });
 
-  test('a class whose service was deleted is out of force, others stay', () => {
+  test('a class whose service was deleted is not in force, other classes stay', () => {
     const state = storeOf(
       [service('llm', 1), service('app', 2), workClass('a', 3, 'llm'), workClass('b', 4, 'app')],
       [{ kind: 'Service', name: 'app', revision: 5 }],
@@ -176,7 +176,7 @@
   const shareCases = [
     { given: [0.5, 0.5], expected: [0.5, 0.5], findings: 0 },
     { given: [0.3, 0.3], expected: [0.3, 0.3], findings: 0 },
-    // 1 means "no cap of its own": it is not added up, and halving it would cap both classes.
+    // 1 means "no cap for this class". It is not added up, because halving it would cap both classes.
     { given: [1, 1], expected: [1, 1], findings: 0 },
     { given: [1, 0.7], expected: [1, 0.7], findings: 0 },
     { given: [0.9, 0.6], expected: [0.6, 0.4], findings: 1 },
--- a/test/fleet/membership.test.ts
+++ b/test/fleet/membership.test.ts
@@ -38,7 +38,7 @@
   return peers.reduce((state, peer) => observeMember(state, peer, now), empty);
 }
 
-describe('silence', () => {
+describe('missing heartbeats', () => {
   const cases = [
     { at: 1_999, local: 'alive', remote: 'alive' },
     { at: 2_000, local: 'suspect', remote: 'alive' },
@@ -55,9 +55,9 @@
     });
   }
 
-  // requests wait for a dead router: its last heartbeat hung in the network, or a peer passed its
-  // old beat on, and arrived after it was taken as gone.
-  test('an old beat does not revive a peer, a newer one does', () => {
+  // Guards against requests that wait for a dead router. Its last heartbeat was delayed in the
+  // network, or a peer passed an old beat on, and it arrived after the router counted as gone.
+  test('a peer becomes alive again by a newer beat, not by an old one', () => {
     const state = membershipOf([member('r1', 7)]);
     const stale = observeMember(state, member('r1', 7), 5_000);
     assert.equal(judgeMember(stale, member('r1').incarnation, 5_000), 'gone');
@@ -65,9 +65,9 @@
     assert.equal(judgeMember(fresh, member('r1').incarnation, 5_000), 'alive');
   });
 
-  // after a pause of some seconds a router takes all its peers as gone and starts to seal them,
-  // although only it was away.
-  test('a paused router does not blame its peers', () => {
+  // Guards against a router that was paused for some seconds, then judges all its peers as gone and
+  // starts to seal them.
+  test('a paused router does not judge its peers as gone', () => {
     let state = tickMembership(membershipOf([member('r1')]), 0);
     state = tickMembership(state, 30_000);
     assert.equal(judgeMember(state, member('r1').incarnation, 30_000), 'alive');
@@ -75,9 +75,9 @@
     assert.equal(judgeMember(state, member('r1').incarnation, 34_000), 'gone');
   });
 
-  // a router seals its whole data centre after its machine was suspended: another service's timer
-  // asked for the peers' health before the router's own tick had run.
-  test('a paused router does not blame its peers before its first tick either', () => {
+  // Guards against a router that seals its whole data centre after its machine was suspended, because
+  // another service's timer read the peers' health before the next membership tick.
+  test('a paused router does not judge its peers as gone before its first tick', () => {
     const state = tickMembership(membershipOf([member('r1')]), 0);
     assert.equal(judgeMember(state, member('r1').incarnation, 30_000), 'alive');
     assert.equal(resolveLocalOwner(state, 'a', 30_000), resolveLocalOwner(state, 'a', 0));
@@ -88,7 +88,7 @@
   const old = member('r1', 50, { incarnation: 'dc-a/r1/old' });
   const renewed = (beat: number) => member('r1', beat, { incarnation: 'dc-a/r1/new' });
 
-  test('the new life ends the old one once it was heard twice', () => {
+  test('a new incarnation ends the old one after two heartbeats', () => {
     let state = observeMember(membershipOf([old]), renewed(1), 1_000);
     assert.equal(judgeMember(state, old.incarnation, 1_000), 'alive');
     state = observeMember(state, renewed(2), 1_500);
@@ -96,9 +96,9 @@
     assert.equal(judgeMember(state, renewed(2).incarnation, 1_500), 'alive');
   });
 
-  // after a restart the peers send to nobody: one late heartbeat of the old life arrived after the
-  // first of the new, and was taken as the newer.
-  test('a late first heartbeat of the old life does not end the new one', () => {
+  // Guards against peers that send nothing to a restarted router, because a late heartbeat of its old
+  // incarnation arrived after the first of the new one and counted as newer.
+  test('a late first heartbeat of the old incarnation does not end the new one', () => {
     let state = observeMember(membershipOf([renewed(1)]), renewed(2), 500);
     state = observeMember(state, old, 600);
     state = observeMember(state, renewed(3), 1_000);
@@ -110,19 +110,19 @@
     assert.equal(judgeMember(state, old.incarnation, 6_200), 'gone');
   });
 
-  test('an earlier life of this router itself is gone', () => {
+  test('an earlier incarnation of this router itself is gone', () => {
     const state = membershipOf([member('self', 9, { incarnation: 'dc-a/self/old' })]);
     assert.equal(judgeMember(state, 'dc-a/self/old', 1), 'gone');
   });
 });
 
 describe('instance list', () => {
-  test('a peer that answers stays although the list has it leaving or not at all', () => {
+  test('a peer that answers stays although it is not in the list', () => {
     const state = observeInstanceList(membershipOf([member('r1')]), []);
     assert.equal(judgeMember(state, member('r1').incarnation, 100), 'alive');
   });
 
-  test('listed addresses at which nobody answers are tried, a few at each beat', () => {
+  test('listed addresses that do not answer are tried, a few at each beat', () => {
     const records = [1, 2, 3, 4, 5].map((n) => ({
       service: 'flamingocourse-router',
       id: `r${n}`,
@@ -141,7 +141,8 @@
     assert.equal(tried.size, 5);
   });
 
-  // after a partition has healed the two sides never find each other, as each has given up the other.
+  // Guards against two sides of a healed partition that never find each other, because each has
+  // stopped sending to the other.
   test('a peer that is gone is still tried', () => {
     const state = membershipOf([member('r1')]);
     assert.deepEqual(heartbeatTargets(state, 60_000), [member('r1').meshUrl]);
@@ -151,7 +152,7 @@
 describe('gossip', () => {
   const far = (beat: number) => member('far', beat, { dataCentre: 'dc-b' });
 
-  test('a digest carries evidence with its age', () => {
+  test('the age of a digest entry dates the last beat', () => {
     const message = {
       info: member('r1'),
       digest: [{ incarnation: far(1).incarnation, beat: 5, ageMs: 3_000 }],
@@ -162,14 +163,14 @@
     assert.equal(state.members[far(1).incarnation]?.info.beat, 5);
   });
 
-  test('an introduction without evidence of life is ignored', () => {
+  test('a member without a digest entry is ignored', () => {
     const message = { info: member('r1'), digest: [], members: [far(4)] };
     const state = observeHeartbeat(membershipOf([]), message, 0);
     assert.equal(state.members[far(1).incarnation], undefined);
   });
 
-  // routers that share only one seed never meet, and keep two relays and two committers: the seed
-  // introduced the same one of its few peers at every turn.
+  // Guards against routers that share only one seed and never learn of each other, so that there are
+  // two relays and two committers: the seed introduced the same one of its few peers at every beat.
   for (const count of [2, 3, 4, 6]) {
     test(`each of ${count} members is introduced in turn`, () => {
       const peers = Array.from({ length: count }, (_, i) => member(`r${i}`));
@@ -183,7 +184,7 @@
     });
   }
 
-  test('routers that only hear each other through a third come to know each other', () => {
+  test('routers learn of each other through a third one', () => {
     let [a, b] = [member('a'), member('b')].map((self) => createMembership(self, settings));
     assert.ok(a && b);
     for (let now = 0; now < 5_000; now += 500) {
@@ -216,14 +217,14 @@
     });
   }
 
-  test('in a large data centre a router watches only its ring predecessors closely', () => {
+  test('in a large data centre a router uses the short timeout only for its ring predecessors', () => {
     const state = membershipOf(Array.from({ length: 40 }, (_, i) => member(`r${i}`)));
     const suspects = judgeMembers(state, 3_000).filter((peer) => peer.health === 'suspect');
     assert.equal(suspects.length, 4);
   });
 });
 
-// half of the heartbeats told what the answer to another had told a moment before.
+// Guards against redundant heartbeats: half of them repeated what the answer to another had just sent.
 describe('exchange', () => {
   const far = member('far', 1, { dataCentre: 'dc-b' });
   const other = member('other', 1, { dataCentre: 'dc-b' });
@@ -244,14 +245,14 @@
     });
   }
 
-  test('second-hand evidence is no exchange', () => {
+  test('evidence from a third router does not count as an exchange', () => {
     const state = observeMember(membershipOf([]), member('near'), 0, 5);
     assert.equal(recentlyExchanged(state, 1_000, 1).size, 0);
   });
 });
 
 describe('local owner', () => {
-  test('all members agree, and a key moves only when its owner goes', () => {
+  test('all members agree on the owner of a key', () => {
     const infos = ['r1', 'r2', 'r3'].map((name) => member(name));
     const owners = infos.map((self) => {
       const others = infos.filter((info) => info !== self);
@@ -262,7 +263,7 @@
     assert.equal(new Set(owners).size, 1);
   });
 
-  test('a leaving router gives its keys to those that serve', () => {
+  test('a leaving router passes its keys to serving routers', () => {
     const state = updateSelf(membershipOf([member('r1')]), { state: 'leaving' });
     for (const key of ['a', 'b', 'c', 'd']) {
       assert.equal(resolveLocalOwner(state, key, 1).instance, 'r1');
