--- a/packages/router/src/node/backends/quarantineRegister.ts
+++ b/packages/router/src/node/backends/quarantineRegister.ts
@@ -45,8 +45,8 @@
     this.#log = log;
     this.#exchange = exchange;
     this.#isShared = isShared;
-    exchange.onNews((news) => {
-      this.#applyFromPeer(news);
+    exchange.onNews((update) => {
+      this.#applyFromPeer(update);
     });
   }
 
@@ -86,9 +86,9 @@
     if (this.#state !== before) this.#exchange.publish(event, this.#state);
   }
 
-  #applyFromPeer(news: QuarantineNews): void {
-    if (news.type === 'event') this.#apply(news.event, news.at, 'told by a peer');
-    else this.#state = mergeQuarantines(this.#state, news.state, this.#clock.now());
+  #applyFromPeer(update: QuarantineNews): void {
+    if (update.type === 'event') this.#apply(update.event, update.at, 'told by a peer');
+    else this.#state = mergeQuarantines(this.#state, update.state, this.#clock.now());
   }
 
   #apply(event: QuarantineEvent, at: number, evidence: string): void {
--- a/packages/router/src/node/fleet/configurationService.ts
+++ b/packages/router/src/node/fleet/configurationService.ts
@@ -80,7 +80,7 @@
   #view: ConfigurationView = createConfigurationView(resolveEffectiveConfig(this.#known));
   /** Details of the findings that have been logged. */
   #reported: ReadonlySet<string> = new Set();
-  /** Objects whose last good version is missing, joined, and the peers already asked for it. */
+  /** Objects without a last good version, joined by commas, and the peers already asked for it. */
   #wantedLastGood = '';
   #askedForLastGood = new Set<IncarnationId>();
   #relay: Subscription | undefined;
@@ -287,10 +287,10 @@
    * does not have the version either.
    */
   #choosePeerForLastGood(): Peer | undefined {
-    const wanted = missingLastGood(this.#known).join();
-    if (wanted !== this.#wantedLastGood) this.#askedForLastGood.clear();
-    this.#wantedLastGood = wanted;
-    if (wanted === '' || this.#pulling) return undefined;
+    const missing = missingLastGood(this.#known).join();
+    if (missing !== this.#wantedLastGood) this.#askedForLastGood.clear();
+    this.#wantedLastGood = missing;
+    if (missing === '' || this.#pulling) return undefined;
     const peers = this.#fleet?.peers() ?? [];
     const peer = peers.find(
       ({ info, health }) => health !== 'gone' && !this.#askedForLastGood.has(info.incarnation),
--- a/packages/router/src/node/fleet/fleetService.ts
+++ b/packages/router/src/node/fleet/fleetService.ts
@@ -36,8 +36,8 @@
 }
 
 /**
- * Service `fleet`. Its start sends one heartbeat to each known address and waits for the answers, so
- * that a restarted router knows what its peers know before it serves.
+ * Service `fleet`. Its start sends one round of heartbeats, seeds included, and waits for the
+ * answers, so that a restarted router learns the state of its peers before it serves.
  *
  * @example
  * kernel.register(new FleetService({ context, mesh: new MeshClient(), store }));
--- a/packages/router/src/node/meshAdapters.ts
+++ b/packages/router/src/node/meshAdapters.ts
@@ -107,7 +107,7 @@
     this.#hints.publish(QUARANTINE_TOPIC, state);
   }
 
-  onNews(listener: (news: QuarantineNews) => void): void {
+  onNews(listener: (update: QuarantineNews) => void): void {
     this.#hints.on(QUARANTINE_TOPIC, (value) => {
       const state = quarantineSchema.safeParse(value);
       // zod types an absent key as `undefined`; JSON has no such value, so the cast is safe.
--- a/packages/router/src/types/backendPorts.ts
+++ b/packages/router/src/types/backendPorts.ts
@@ -34,7 +34,7 @@
   /** Called when a request is refused from now on, because of local events or reports of peers. */
   quarantined?(fingerprint: Fingerprint, state: QuarantineState): void;
   /** Registers a listener for what peers send. */
-  onNews(listener: (news: QuarantineNews) => void): void;
+  onNews(listener: (update: QuarantineNews) => void): void;
 }
 
 /** Servers that operators have drained. */
--- a/test/fleet/changeRecorder.test.ts
+++ b/test/fleet/changeRecorder.test.ts
@@ -32,7 +32,7 @@
   { name: 'the account is lost', shown: [3, undefined], reverts: 1, missing: 0 },
 ];
 for (const { name, shown, reverts, missing } of cases) {
-  test(`the measurement sees: ${name}`, () => {
+  test(`the recorder handles: ${name}`, () => {
     const { router, show } = createRouter();
     const recorder = new ChangeRecorder([router]);
     for (const number of [1, 2, 3]) recorder.accepted({ account: 'club', number, at: 0 });
--- a/test/fleet/configStore.test.ts
+++ b/test/fleet/configStore.test.ts
@@ -49,7 +49,7 @@
 }
 
 /** Merges objects as a watch delivers them: each covers all changes up to its own revision. */
-function take(store: ConfigStore, objects: DeclaredObject[]): ConfigStore {
+function mergeObjects(store: ConfigStore, objects: DeclaredObject[]): ConfigStore {
   return objects.reduce(
     (next, object) =>
       mergeUpdate(next, { asOf: object.revision, objects: [object], complete: false }),
@@ -58,7 +58,7 @@
 }
 
 function storeOf(...batches: DeclaredObject[][]): ConfigStore {
-  return batches.reduce(take, createConfigStore());
+  return batches.reduce(mergeObjects, createConfigStore());
 }
 
 function shares(state: ReturnType<typeof storeOf>): Record<string, number> {
@@ -71,7 +71,7 @@
   // copy of the platform and passed it on as a change.
   test('a stale read after a restart changes nothing', () => {
     const state = storeOf([service('llm', 1), workClass('drafts', 5, 'llm', 0.8)]);
-    const after = take(state, [workClass('drafts', 4, 'llm', 0.1)]);
+    const after = mergeObjects(state, [workClass('drafts', 4, 'llm', 0.1)]);
     assert.deepEqual(after, state);
     assert.deepEqual(shares(after), { drafts: 0.8 });
   });
@@ -79,7 +79,7 @@
   test('an older list does not restore a deleted object', () => {
     const deletion: DeclaredObject = { kind: 'WorkClass', name: 'drafts', revision: 6 };
     const state = storeOf([service('llm', 1), workClass('drafts', 5)], [deletion]);
-    assert.deepEqual(shares(take(state, [workClass('drafts', 5)])), {});
+    assert.deepEqual(shares(mergeObjects(state, [workClass('drafts', 5)])), {});
   });
 
   test('messages in any order, also repeated, result in the same objects', () => {
@@ -129,7 +129,7 @@
   test('a corrected class comes into force', () => {
     const state = storeOf([service('llm', 1), workClass('drafts', 2, 'lmm')]);
     assert.deepEqual(shares(state), {});
-    assert.deepEqual(shares(take(state, [service('lmm', 3)])), { drafts: 0.5 });
+    assert.deepEqual(shares(mergeObjects(state, [service('lmm', 3)])), { drafts: 0.5 });
   });
 
   test('a new router gets the last good version from a peer', () => {
@@ -153,9 +153,9 @@
     const objects = [...state.objects.values()];
     const listed = mergeUpdate(createConfigStore(), { asOf: 4, objects, complete: true });
     assert.deepEqual(missingLastGood(listed), ['WorkClass.drafts']);
-    const mended = mergeUpdate(listed, updateSince(state, listed.asOf));
-    assert.deepEqual(shares(mended), { drafts: 0.5 });
-    assert.deepEqual(missingLastGood(mended), []);
+    const completed = mergeUpdate(listed, updateSince(state, listed.asOf));
+    assert.deepEqual(shares(completed), { drafts: 0.5 });
+    assert.deepEqual(missingLastGood(completed), []);
   });
 
   test('a last good version from a peer never replaces a valid newest version', () => {
