--- a/packages/router/src/node/backends/laneLearning.ts
+++ b/packages/router/src/node/backends/laneLearning.ts
@@ -26,6 +26,7 @@
     this.#targets = targets;
   }
 
+  /** First-token target of a class in milliseconds, if it has one. */
   targetMs(workClass: string): number | undefined {
     return this.#targets.get(workClass);
   }
@@ -35,10 +36,12 @@
     return cautiousServiceMs(this.#serviceTimes.get(workClass), now);
   }
 
+  /** Rule that decides which places a request of this importance may use. */
   ruleFor(importance: Importance, isMinimumShareTurn = false): PlacementRule {
     return this.#reserve.ruleFor(importance, isMinimumShareTurn);
   }
 
+  /** Records the service time of an answer, and whether the answer met its target. */
   recordAnswer(timing: AnswerTiming, now: EpochMs): void {
     const { workClass, importance, waitedMs, firstTokenMs, serviceMs } = timing;
     const known = this.#serviceTimes.get(workClass);
--- a/packages/router/src/node/backends/laneRefusals.ts
+++ b/packages/router/src/node/backends/laneRefusals.ts
@@ -13,22 +13,32 @@
   'deadline-passed': 'The deadline passed in the queue.',
 } as const;
 
+/** Refusal for a service without any server that accepts requests. */
 export function noServerRefusal(): Refusal {
   const detail = 'No backend server can take the request now; retry soon.';
   return notRun('no-backend-server', detail, NO_SERVER_RETRY_MS);
 }
 
+/** Refusal for a request whose caller stopped waiting before it was placed. */
 export function cancelledRefusal(): Refusal {
   return notRun('deadline-passed', 'The request was given up before it ran.');
 }
 
-/** @param waitMs milliseconds until the request could be sent. */
+/**
+ * Refusal for a request that all servers' pauses or rate limits would delay for too long.
+ *
+ * @param waitMs milliseconds until the request could be sent.
+ */
 export function rateLimitedRefusal(waitMs: number): Refusal {
   const detail = 'All backend servers rest or limit the requests a second; retry later.';
   return notRun('overloaded', detail, Math.ceil(waitMs));
 }
 
-/** @param retryAfterMs milliseconds until the request may run again, if known. */
+/**
+ * Refusal for a quarantined request.
+ *
+ * @param retryAfterMs milliseconds until the request may run again, if known.
+ */
 export function quarantinedRefusal(retryAfterMs: number | undefined): Refusal {
   const detail = 'This request has crashed the servers that ran it; change it.';
   return notRun('quarantined', detail, retryAfterMs);
--- a/packages/router/src/node/backends/quarantineRegister.ts
+++ b/packages/router/src/node/backends/quarantineRegister.ts
@@ -50,6 +50,7 @@
     });
   }
 
+  /** Whether a request may run, must run alone or is refused. */
   judge(fingerprint: Fingerprint): QuarantineVerdict {
     return judgeFingerprint(this.#state, fingerprint, this.#clock.now());
   }
@@ -74,6 +75,7 @@
     );
   }
 
+  /** Records that a request ran to its end without crashing the server. */
   recordFinished(fingerprint: Fingerprint): void {
     if (!this.#state.entries[fingerprint]) return;
     this.#applyOwn({ type: 'finished', fingerprint });
--- a/packages/router/src/node/resolveConfig.ts
+++ b/packages/router/src/node/resolveConfig.ts
@@ -9,6 +9,7 @@
 import { readFile } from 'node:fs/promises';
 import { settingsSchema } from '../utils/settingsSchema.js';
 
+/** Why a settings file cannot be used. */
 export type SettingsErrorCode = 'unreadable' | 'invalid';
 
 /** The settings file cannot be used. The message has one line per fault. */
