--- a/test/fleet/changeRecorder.test.ts
+++ b/test/fleet/changeRecorder.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { ChangeRecorder } from '../../packages/lab/src/node/configMeasure/changeRecorder.js';
 
-/** A router whose account has the given opening budgets, one after the other. */
+/** Creates a router whose account gets the opening budgets passed to `show`, one after another. */
 function createRouter(): { router: MeasuredRouter; show: (openingTokens?: number) => void } {
   let accounts: { name: string; openingTokens: number }[] = [];
   let listener = (): void => undefined;
@@ -32,7 +32,7 @@
   { name: 'the account is lost', shown: [3, undefined], reverts: 1, missing: 0 },
 ];
 for (const { name, shown, reverts, missing } of cases) {
-  test(`the measurement sees: ${name}`, () => {
+  test(`the recorder handles: ${name}`, () => {
     const { router, show } = createRouter();
     const recorder = new ChangeRecorder([router]);
     for (const number of [1, 2, 3]) recorder.accepted({ account: 'club', number, at: 0 });
