--- a/packages/core/src/runtime/membership/memberHealth.ts
+++ b/packages/core/src/runtime/membership/memberHealth.ts
@@ -1,45 +1,47 @@
-/** Judgement of peers by their silence. */
+/** Failure detector: derives the health of peers from the time since their last heartbeat. */
 
 import type { EpochMs, IncarnationId } from '../../types/ids.js';
 import type { MemberInfo, PeerHealth } from '../../types/member.js';
 import type { KnownMember, MembershipState } from '../../types/membership.js';
 import { hash32 } from '../../utils/hash.js';
 
-/** Local peers up to which every router sends to every other in its data centre. */
+/** Maximum number of local peers at which each router sends heartbeats to all of them. */
 export const FULL_MESH_LIMIT = 6;
-/** Ring successors that get a heartbeat in a larger data centre. */
+/** Number of ring successors that receive a heartbeat in a larger data centre. */
 export const RING_FANOUT = 4;
-/** Factor on the times of silence for members whose life is learned second-hand. */
-const INDIRECT_PATIENCE = 5;
+/** Factor on the timeouts for members whose heartbeats arrive only through other members. */
+const INDIRECT_TIMEOUT_FACTOR = 5;
 
-/** A peer with this router's judgement. */
+/** A peer and its health as this router sees it. */
 export interface JudgedMember {
   info: MemberInfo;
   health: PeerHealth;
 }
 
 /**
- * Judges all peers.
+ * Determines the health of all peers.
  *
  * @example
  * const alive = judgeMembers(state, now).filter((peer) => peer.health === 'alive');
  */
 export function judgeMembers(state: MembershipState, now: EpochMs): JudgedMember[] {
-  const asOf = judgementTime(state, now);
+  const asOf = silenceReferenceTime(state, now);
   const direct = findDirectSenders(state);
-  const lives = groupByInstance(state);
+  const incarnations = groupByInstance(state);
   return Object.values(state.members).map((member) => {
     const { info } = member;
-    const patience = direct.has(info.incarnation) ? 1 : INDIRECT_PATIENCE;
-    const others = lives.get(instanceKey(info)) ?? [];
+    const timeoutFactor = direct.has(info.incarnation) ? 1 : INDIRECT_TIMEOUT_FACTOR;
+    const others = incarnations.get(instanceKey(info)) ?? [];
     const superseded =
       instanceKey(info) === instanceKey(state.self) || isSuperseded(member, others);
-    const health = superseded ? 'gone' : judgeSilence(state, asOf - member.heardAt, patience);
+    const health = superseded
+      ? 'gone'
+      : healthForSilence(state, asOf - member.heardAt, timeoutFactor);
     return { info, health };
   });
 }
 
-/** Judges one peer; an unknown one is gone. */
+/** Determines the health of one peer; an unknown peer is `'gone'`. */
 export function judgeMember(
   state: MembershipState,
   incarnation: IncarnationId,
@@ -49,39 +51,45 @@
   return judged.find((peer) => peer.info.incarnation === incarnation)?.health ?? 'gone';
 }
 
-/** Order of the members of a data centre on the ring; the same at each of them. */
+/** Order of the members of a data centre on the ring; every member computes the same order. */
 export function ringOrder(ids: IncarnationId[]): IncarnationId[] {
   const ranked = ids.map((id) => ({ id, rank: hash32(id) }));
   return ranked.sort((a, b) => a.rank - b.rank || (a.id < b.id ? -1 : 1)).map(({ id }) => id);
 }
 
 /**
- * Time as of which silence counts.
+ * Time up to which the silence of peers is measured.
  *
- * A router that was paused has heard nobody meanwhile. A request or a timer of another service can
- * run before its own tick when it wakes; judged by the clock, all peers would be gone then, and it
- * would seal them and take their duties. So while its own tick is overdue it judges as of its last
- * tick, up to which it did listen. The guard holds because each tick takes the pause off everyone's
- * silence before it moves that time on, and because a router that runs ticks far more often.
+ * A router whose process was paused received no heartbeats during the pause. After it resumes, a
+ * request or a timer of another service can run before the membership tick. Measured against the
+ * clock, all peers would then be gone, and the router would seal them and take over their duties.
+ * While its own tick is overdue, silence is therefore measured up to the last tick, until which the
+ * router did receive heartbeats. This is safe because each tick subtracts the pause from the
+ * silence of all peers before it updates `lastTickAt`, and because a running router ticks far more
+ * often than the threshold.
  */
-function judgementTime({ lastTickAt, settings }: MembershipState, now: EpochMs): EpochMs {
+function silenceReferenceTime({ lastTickAt, settings }: MembershipState, now: EpochMs): EpochMs {
   if (lastTickAt === undefined) return now;
   return now - lastTickAt > settings.suspectMs / 2 ? lastTickAt : now;
 }
 
-function judgeSilence(state: MembershipState, silence: number, patience: number): PeerHealth {
+function healthForSilence(
+  state: MembershipState,
+  silence: number,
+  timeoutFactor: number,
+): PeerHealth {
   const { goneMs, suspectMs } = state.settings;
-  if (silence >= goneMs * patience) return 'gone';
-  return silence >= suspectMs * patience ? 'suspect' : 'alive';
+  if (silence >= goneMs * timeoutFactor) return 'gone';
+  return silence >= suspectMs * timeoutFactor ? 'suspect' : 'alive';
 }
 
 /**
- * Whether a later life of the same instance has taken a member's place. The later one must have
- * been heard repeatedly: a first heartbeat of an old life can arrive late and must not end the
- * present one.
+ * Whether a later incarnation of the same instance has replaced a member. The later one must have
+ * been heard from more than once: the first heartbeat of an old incarnation can arrive late and
+ * must not replace the current one.
  */
-function isSuperseded(member: KnownMember, lives: KnownMember[]): boolean {
-  return lives.some(
+function isSuperseded(member: KnownMember, incarnations: KnownMember[]): boolean {
+  return incarnations.some(
     (other) => other.firstHeardAt > member.heardAt && other.heardAt > other.firstHeardAt,
   );
 }
@@ -99,7 +107,9 @@
   return `${info.dataCentre}/${info.instance}`;
 }
 
-/** Members that send their heartbeats to this router itself: ring predecessors, or all local ones. */
+/**
+ * Members that send heartbeats directly to this router: ring predecessors, or all local members.
+ */
 function findDirectSenders(state: MembershipState): ReadonlySet<IncarnationId> {
   const own = state.self.incarnation;
   const local = Object.values(state.members)
--- a/packages/core/src/runtime/membership/membership.ts
+++ b/packages/core/src/runtime/membership/membership.ts
@@ -1,6 +1,7 @@
 /**
- * Which routers of the fleet this router takes as alive. A reducer over heartbeats, the lagging
- * instance list and the passing of time. Judgements are hints: nothing safe depends on them.
+ * Membership protocol: which other routers this router considers alive. Pure functions that update
+ * the state on heartbeats, on the instance list (which may be out of date) and on timer ticks. The
+ * results are hints: no safety property depends on them.
  */
 
 import type { EpochMs, IncarnationId } from '../../types/ids.js';
@@ -14,15 +15,17 @@
 import { rendezvousOwner } from '../../utils/hash.js';
 import { FULL_MESH_LIMIT, judgeMembers, RING_FANOUT, ringOrder } from './memberHealth.js';
 
-/** Second-hand evidence that a member lives. */
+/** Evidence, relayed by another member, that a member is alive. */
 export interface DigestEntry {
   incarnation: IncarnationId;
   beat: number;
-  /** Milliseconds since the sender had evidence. */
+  /** Milliseconds since the sender's last evidence. */
   ageMs: number;
 }
 
-/** What one router tells another at each beat. Its size is bounded, however large the fleet. */
+/**
+ * Message from one router to another at each beat. Its size is bounded, whatever the fleet size.
+ */
 export interface Heartbeat {
   info: MemberInfo;
   digest: DigestEntry[];
@@ -30,30 +33,37 @@
   members: MemberInfo[];
 }
 
-/** Beats between heartbeats to each other data centre. */
-const REMOTE_EVERY_BEATS = 4;
-/** Unknown addresses tried at each beat. */
+/** Number of beats between heartbeats to each other data centre. */
+const REMOTE_INTERVAL_BEATS = 4;
+/** Number of addresses without a known member that are tried at each beat. */
 const CONTACTS_PER_BEAT = 2;
+/** Maximum number of digest entries in a heartbeat. */
 const MAX_DIGEST = 6;
-/** Digest of a router that sends to all its local peers itself; only news from elsewhere is left. */
+/**
+ * Maximum number of digest entries while each router sends to all its local peers directly. Only
+ * the members of other data centres have to be relayed then.
+ */
 const MAX_FULL_MESH_DIGEST = 3;
-/** Part of a beat within which an exchange with a local peer makes another one needless. */
+/** A local peer gets no heartbeat if it exchanged one within this part of a beat. */
 const LOCAL_EXCHANGE_BEATS = 0.6;
-/** Beats within which an exchange with another data centre makes another one needless. */
+/** Another data centre gets no heartbeat if one was exchanged within this number of beats. */
 const REMOTE_EXCHANGE_BEATS = 2;
-/** Beats between introductions of a member. */
-const INTRODUCE_EVERY_BEATS = 4;
-/** How long a member counts as new, and is introduced before others and at every beat. */
+/** Number of beats between heartbeats that describe a member in full, if no member is new. */
+const INTRODUCTION_INTERVAL_BEATS = 4;
+/** How long a member counts as new. New members are described first, and at every beat. */
 const NEW_MEMBER_MS = 10_000;
-/** How long a member that is gone is remembered, so that it can be found again. */
-const FORGET_MS = 10 * 60_000;
-/** Members kept of each other data centre; enough to hear of it, however many it has. */
+/** How long the entry of a silent member is stored, so that its address is tried again. */
+const GONE_MEMBER_TTL_MS = 10 * 60_000;
+/**
+ * Maximum number of members stored for each other data centre. This many are enough to stay in
+ * touch with a data centre of any size.
+ */
 const MAX_PER_REMOTE_CENTRE = 16;
-/** Bound on members of the own data centre and on contacts. */
+/** Maximum number of members of the own data centre, and of contacts. */
 const MAX_ENTRIES = 1_024;
 
 /**
- * A router that knows only itself and its configured contacts.
+ * Creates the state of a router that knows only itself and its configured contacts.
  *
  * @example
  * let state = createMembership(self, { suspectMs: 2_000, goneMs: 4_000 }, seeds);
@@ -67,16 +77,18 @@
   return { self, settings, members: {}, contacts };
 }
 
-/** Changes what this router says about itself. A new incarnation starts at the next beat. */
+/** Changes what this router reports about itself. A new incarnation starts at the next beat. */
 export function updateSelf(state: MembershipState, change: Partial<MemberInfo>): MembershipState {
   return { ...state, self: { ...state.self, ...change } };
 }
 
 /**
- * Takes in what a member says about itself, at first hand (`ageMs` 0) or through another.
+ * Applies what a member reports about itself, received directly (`ageMs` 0) or through another
+ * member.
  *
- * Only a higher beat is evidence of life: a heartbeat that was delayed in the network, or kept by a
- * peer, would otherwise revive a router that has died and make others wait for it.
+ * Only a higher beat is evidence that the member is alive. Otherwise a heartbeat that was delayed
+ * in the network, or stored by a peer, would mark a dead router as alive and make others wait for
+ * it.
  */
 export function observeMember(
   state: MembershipState,
@@ -87,7 +99,7 @@
   if (info.incarnation === state.self.incarnation) return state;
   const known = state.members[info.incarnation];
   if (known && info.beat <= known.info.beat) return state;
-  const members = known ? state.members : makeRoom(state, info, now);
+  const members = known ? state.members : evictForNewMember(state, info, now);
   if (!members) return state;
   const heardAt = Math.max(known?.heardAt ?? 0, now - ageMs);
   const directAt = ageMs === 0 ? now : known?.directAt;
@@ -100,7 +112,7 @@
   return { ...state, members: { ...members, [info.incarnation]: member } };
 }
 
-/** Takes in a whole heartbeat. */
+/** Applies a whole heartbeat. */
 export function observeHeartbeat(
   state: MembershipState,
   heartbeat: Heartbeat,
@@ -110,7 +122,7 @@
   let next = observeMember(state, heartbeat.info, now);
   for (const info of heartbeat.members) {
     const ageMs = ages.get(info.incarnation);
-    // without an age nothing says that the member still lives.
+    // without an age there is no evidence that the member is still alive.
     if (ageMs !== undefined) next = observeMember(next, info, now, ageMs);
   }
   for (const { incarnation, beat, ageMs } of heartbeat.digest) {
@@ -121,8 +133,8 @@
 }
 
 /**
- * Takes in the platform's instance list. It lags, so it only adds addresses to try: a router that
- * it no longer has, or shows as leaving, stays a member while it answers.
+ * Applies the platform's instance list. The list may be out of date, so it only adds addresses to
+ * try: a router that is missing from it, or listed as leaving, stays a member while it answers.
  */
 export function observeInstanceList(
   state: MembershipState,
@@ -138,10 +150,10 @@
 }
 
 /**
- * Lets time pass: raises the own beat and forgets members that are long gone.
+ * Timer tick: increments the own beat and removes members that have been silent for long.
  *
- * A router that was paused has heard nobody meanwhile, and would take all its peers as gone and
- * start to seal them. Its own gap is therefore taken off the silence of all.
+ * A router whose process was paused received no heartbeats during the pause. It would consider all
+ * its peers gone and start to seal them. The pause is therefore subtracted from the silence of all.
  */
 export function tickMembership(state: MembershipState, now: EpochMs): MembershipState {
   const gap = now - (state.lastTickAt ?? now);
@@ -149,15 +161,15 @@
   const members: Record<IncarnationId, KnownMember> = {};
   for (const [incarnation, member] of Object.entries(state.members)) {
     const heardAt = paused ? Math.min(now, member.heardAt + gap) : member.heardAt;
-    if (now - heardAt < FORGET_MS) members[incarnation] = { ...member, heardAt };
+    if (now - heardAt < GONE_MEMBER_TTL_MS) members[incarnation] = { ...member, heardAt };
   }
   const self = { ...state.self, beat: state.self.beat + 1 };
   return { ...state, self, members, lastTickAt: now };
 }
 
 /**
- * Member of the own data centre, self included, that a key maps to. Members that stop or are only
- * starting own nothing while another can.
+ * Finds the member of the own data centre, self included, that owns a key. Members that are
+ * starting or leaving own a key only if no member is serving.
  *
  * @example
  * resolveLocalOwner(state, 'journal', now).incarnation;
@@ -176,7 +188,10 @@
   return eligible.find((info) => info.incarnation === owner) ?? state.self;
 }
 
-/** Mesh URLs that get this beat's heartbeat; bounded, and spread over the beats. */
+/**
+ * Mesh URLs that receive the heartbeat of this beat. Their number is bounded; other data centres
+ * and contacts take turns over the beats.
+ */
 export function heartbeatTargets(state: MembershipState, now: EpochMs): string[] {
   const living = membersWith(state, ['alive', 'suspect'], now);
   const local = ringSuccessors(
@@ -188,11 +203,12 @@
 }
 
 /**
- * Mesh URLs among the targets with which nothing has to be exchanged at this beat, because their own
- * heartbeat was answered a moment ago and told both sides as much. Of two routers that both send
- * each beat the one whose beat comes later so falls silent, and half of the traffic is saved.
+ * Mesh URLs that need no heartbeat at this beat, because their own heartbeat was answered a moment
+ * ago, and that exchange gave both sides the same information. If two routers would both send at
+ * each beat, the one that ticks later skips its heartbeat, which saves half of the traffic.
  *
- * Nobody's silence goes unnoticed by this: who has not been heard for a part of a beat is sent to.
+ * Failures are still detected: a member that was not heard from for a part of a beat gets a
+ * heartbeat.
  */
 export function recentlyExchanged(
   state: MembershipState,
@@ -221,9 +237,10 @@
     a.info.incarnation < b.info.incarnation ? -1 : 1,
   );
   const { beat } = state.self;
-  // the introduction has its own rotation: by the digest's step a small fleet would introduce the
-  // same member for ever, and routers that know only a third would never meet.
-  const introduced = introduce(living, beat, now);
+  // the member described in full is rotated separately from the digest. With the step of the
+  // digest, a small fleet would always describe the same member, and two routers that have only a
+  // third one in common would never learn of each other.
+  const introduced = chooseIntroduced(living, beat, now);
   const localCount = living.filter((member) => isLocal(state, member)).length;
   const size = localCount <= FULL_MESH_LIMIT ? MAX_FULL_MESH_DIGEST : MAX_DIGEST;
   const turn = rotate(living, beat * size).slice(0, size);
@@ -237,14 +254,14 @@
 }
 
 /**
- * The member to describe in full, if any. News of a new one has to pass through many routers of a
- * large data centre, in which most of them are never told by itself.
+ * The member to describe in full, if any. New members come first: in a large data centre most
+ * routers never receive a heartbeat from a new member itself, so others have to relay it.
  */
-function introduce(living: KnownMember[], beat: number, now: EpochMs): KnownMember[] {
+function chooseIntroduced(living: KnownMember[], beat: number, now: EpochMs): KnownMember[] {
   const fresh = living.filter((member) => now - member.firstHeardAt < NEW_MEMBER_MS);
   if (fresh.length > 0) return rotate(fresh, beat).slice(0, 1);
-  if (beat % INTRODUCE_EVERY_BEATS !== 0) return [];
-  return rotate(living, beat / INTRODUCE_EVERY_BEATS).slice(0, 1);
+  if (beat % INTRODUCTION_INTERVAL_BEATS !== 0) return [];
+  return rotate(living, beat / INTRODUCTION_INTERVAL_BEATS).slice(0, 1);
 }
 
 function membersWith(state: MembershipState, healths: PeerHealth[], now: EpochMs): KnownMember[] {
@@ -253,8 +270,11 @@
     .flatMap(({ info }) => state.members[info.incarnation] ?? []);
 }
 
-/** Members with room for one more of a data centre; the longest silent one goes for it. */
-function makeRoom(
+/**
+ * Members with room for one more of its data centre. If the limit is reached, the member that has
+ * been silent longest is evicted. Undefined if that one is not gone yet.
+ */
+function evictForNewMember(
   state: MembershipState,
   info: MemberInfo,
   now: EpochMs,
@@ -284,19 +304,22 @@
   return local.filter((member) => successors.includes(member.info.incarnation));
 }
 
-/** One member in each other data centre whose turn it is at this beat. */
+/** One member of each other data centre that is due at this beat. */
 function remoteTargets(state: MembershipState, living: KnownMember[]): KnownMember[] {
   const remote = living.filter((member) => !isLocal(state, member));
   const centres = [...new Set(remote.map((member) => member.info.dataCentre))].sort();
   const { beat } = state.self;
   return centres.flatMap((dataCentre, i) => {
-    if ((beat + i) % REMOTE_EVERY_BEATS !== 0) return [];
+    if ((beat + i) % REMOTE_INTERVAL_BEATS !== 0) return [];
     const members = remote.filter((member) => member.info.dataCentre === dataCentre);
-    return rotate(members, Math.floor(beat / REMOTE_EVERY_BEATS)).slice(0, 1);
+    return rotate(members, Math.floor(beat / REMOTE_INTERVAL_BEATS)).slice(0, 1);
   });
 }
 
-/** Addresses where nobody is known to answer: new routers, and those behind a healed partition. */
+/**
+ * Addresses without a known live member: those of new routers, and of routers that were behind a
+ * partition that has healed.
+ */
 function contactTargets(state: MembershipState, living: KnownMember[]): string[] {
   const answering = new Set([state.self.meshUrl, ...living.map((member) => member.info.meshUrl)]);
   const former = Object.values(state.members).map((member) => member.info.meshUrl);
--- a/packages/core/src/types/declaration.ts
+++ b/packages/core/src/types/declaration.ts
@@ -1,34 +1,40 @@
-/** What operators declare. They state targets; weights and instance names never appear. */
+/**
+ * Types of the objects that operators declare. Operators state targets; the system derives weights
+ * and finds instances, so neither appears here.
+ */
 
 import type { AccountId, ServiceName, Tokens, WorkClassName } from './ids.js';
 
-/** Which error weighs more when the two conflict. Neither setting permits overspend. */
+/** Which of two errors to avoid where the system must choose. Neither setting permits overspend. */
 export type DeploymentPolicy = 'avoid-overspend' | 'avoid-false-refusals';
 
-/** Which class keeps being served when budget or capacity is short. */
+/** Priority of a class when budget or capacity is short; `first` classes are served longest. */
 export type Importance = 'first' | 'standard' | 'background';
 
 /** Kind of backend server behind a service. */
 export type ServiceType = 'model' | 'plain';
 
-/** A class of work with its target. */
+/** A class of requests with its latency target. */
 export interface WorkClassDeclaration {
   kind: 'WorkClass';
   name: WorkClassName;
   service: ServiceName;
   target: {
-    /** First token, or for plain services the whole answer, in milliseconds for 95 in 100. */
+    /**
+     * Time to the first token, in milliseconds at the 95th percentile; for plain services, time to
+     * the whole answer.
+     */
     firstTokenMs: number;
-    /** Whole answer in milliseconds; the default deadline of a request. */
+    /** Time to the whole answer in milliseconds; also the default deadline of a request. */
     completeMs: number;
   };
-  /** Part of an account's budget that this class may draw, from 0 to 1. @default 1 */
+  /** Fraction of an account's budget that this class may spend, from 0 to 1. @default 1 */
   budgetShare: number;
   /** @default 'standard' */
   importance: Importance;
   /** Whether a request may run more than once. @default true for model services */
   idempotent: boolean;
-  /** Most output tokens of one request. @default 512 */
+  /** Maximum number of output tokens of one request. @default 512 */
   maxOutputTokens: Tokens;
 }
 
@@ -38,9 +44,9 @@
   name: AccountId;
   /** SHA-256 digests (hex) of the API keys that belong to the account. */
   apiKeyDigests: string[];
-  /** Budget written to the ledger once, when the account is first accepted. @default 0 */
+  /** Initial budget, written to the ledger once, when the account is first accepted. @default 0 */
   openingTokens: Tokens;
-  /** Work class for requests that name none. */
+  /** Work class of requests that do not name one. */
   defaultClass?: WorkClassName;
 }
 
@@ -49,15 +55,15 @@
   kind: 'Service';
   name: ServiceName;
   type: ServiceType;
-  /** Name under which the platform's instance list carries its backend servers. */
+  /** Name of the service in the platform's instance list, where its backend servers are found. */
   discovery: { instanceList: string };
   /** Model names that callers may ask for; model services only. */
   models: string[];
-  /** Whether backend servers refuse orders with an old fencing number. @default false */
+  /** Whether backend servers reject requests with an outdated fencing number. @default false */
   checksFencing: boolean;
   /** Tokens charged per call of a plain service. @default 0 */
   tokensPerCall: Tokens;
-  /** Requests that one backend server takes at once. @default 8 */
+  /** Maximum number of concurrent requests at one backend server. @default 8 */
   concurrencyPerServer: number;
 }
 
@@ -66,7 +72,7 @@
   kind: 'Deployment';
   name: string;
   policy: DeploymentPolicy;
-  /** How long a data centre that is cut off should be able to go on serving, in seconds. */
+  /** How long a disconnected data centre should be able to continue serving, in seconds. */
   rideThroughSeconds: number;
 }
 
@@ -76,11 +82,11 @@
 
 export type DeclarationKind = Declaration['kind'];
 
-/** A declared object as accepted by the platform; `revision` totally orders all changes. */
+/** A declared object as stored on the platform; `revision` is a total order over all changes. */
 export interface DeclaredObject {
   kind: DeclarationKind;
   name: string;
   revision: number;
-  /** Absent for a deletion, which is kept so that a stale read cannot bring the object back. */
+  /** Absent for a deletion, which is stored so that a stale read cannot restore the object. */
   declaration?: Declaration;
 }
--- a/packages/core/src/types/member.ts
+++ b/packages/core/src/types/member.ts
@@ -1,8 +1,8 @@
-/** Instances of the fleet and backend servers as the routers see them. */
+/** Router instances and backend servers, as routers know them. */
 
 import type { DataCentreId, EpochMs, IncarnationId, ServerId, ServiceName } from './ids.js';
 
-/** What a router tells its peers about itself. */
+/** What a router reports to its peers about itself. */
 export interface MemberInfo {
   incarnation: IncarnationId;
   dataCentre: DataCentreId;
@@ -10,19 +10,19 @@
   instance: string;
   /** `http://host:port` of the mesh listener. */
   meshUrl: string;
-  /** `http://host:port` of the callers' listener. */
+  /** `http://host:port` of the listener for callers. */
   entryUrl: string;
   state: 'starting' | 'serving' | 'leaving';
-  /** Rises with each heartbeat, so that an old message never overrides a newer one. */
+  /** Incremented with each heartbeat, so that an old message never overrides a newer one. */
   beat: number;
   /** Highest configuration revision in force at this router. */
   revision: number;
 }
 
-/** A router's own judgement of a peer. */
+/** Health of a peer as one router sees it. */
 export type PeerHealth = 'alive' | 'suspect' | 'gone';
 
-/** Entry of the platform's lagging instance list. */
+/** Entry of the platform's instance list, which may be out of date. */
 export interface InstanceRecord {
   service: string;
   id: string;
@@ -32,15 +32,15 @@
   state: 'live' | 'leaving';
 }
 
-/** A backend server as known to routing. */
+/** A backend server as the routing code knows it. */
 export interface BackendServer {
   service: ServiceName;
   id: ServerId;
   dataCentre: DataCentreId;
   url: string;
   state: 'live' | 'leaving';
-  /** Start of this life of the server, by its own clock, where the list tells it. */
+  /** Start time of this server incarnation, by its own clock, if the list contains it. */
   bornAt?: number | undefined;
-  /** Last load report and when it was taken; both lag. */
+  /** Last load report and the time of the measurement. The report may be out of date. */
   load?: { running: number; waiting: number; at: EpochMs };
 }
--- a/packages/core/src/types/membership.ts
+++ b/packages/core/src/types/membership.ts
@@ -1,37 +1,38 @@
-/** What one router knows of the fleet. */
+/** State of the membership protocol at one router. */
 
 import type { DataCentreId, EpochMs, IncarnationId } from './ids.js';
 import type { MemberInfo } from './member.js';
 
-/** Times after which silence counts. */
+/** Timeouts of the failure detector. */
 export interface MembershipSettings {
-  /** Silence after which a peer is suspect, in milliseconds. */
+  /** Time without a heartbeat after which a peer is suspect, in milliseconds. */
   suspectMs: number;
-  /** Silence after which a peer is taken as gone, in milliseconds. */
+  /** Time without a heartbeat after which a peer is considered gone, in milliseconds. */
   goneMs: number;
 }
 
-/** A peer as known here. */
+/** A peer as this router knows it. */
 export interface KnownMember {
   info: MemberInfo;
-  /** First and last evidence of life, by this router's clock. */
+  /** Time of the first evidence that the peer was alive, by this router's clock. */
   firstHeardAt: EpochMs;
+  /** Time of the last such evidence, direct or through another peer, by the same clock. */
   heardAt: EpochMs;
-  /** When it was last heard itself, by a heartbeat or the answer to one. */
+  /** When the peer itself last sent a heartbeat or answered one. */
   directAt?: EpochMs;
 }
 
-/** All that a router knows about the fleet. */
+/** All that a router knows about the other routers. */
 export interface MembershipState {
   self: MemberInfo;
   settings: MembershipSettings;
   members: Record<IncarnationId, KnownMember>;
-  /** Mesh URLs from the instance list and the settings, to be tried while nobody answers there. */
+  /** Addresses from the instance list and the settings; tried while no known member has them. */
   contacts: Contact[];
   lastTickAt?: EpochMs;
 }
 
-/** An address at which a router may be. */
+/** An address at which a router may run. */
 export interface Contact {
   meshUrl: string;
   dataCentre?: DataCentreId;
