--- a/packages/core/src/runtime/configStore/configStore.ts
+++ b/packages/core/src/runtime/configStore/configStore.ts
@@ -1,60 +1,60 @@
 /**
  * Declared objects as one router knows them, merged from the platform and from peers. The highest
  * revision of each object wins, deletions included, so that the configuration never reverts,
- * whatever order reads and messages come in.
+ * whatever the order in which reads and messages arrive.
  */
 
 import type { DeclarationKind, DeclaredObject } from '../../types/declaration.js';
 
-/** State of the store; replaced, never changed in place. */
+/** State of the store. Immutable: each update creates a new state. */
 export interface ConfigStore {
-  /** Newest known state of each object by `{kind}.{name}`, deletions included. */
+  /** Newest known version of each object by `{kind}.{name}`, deletions included. */
   objects: ReadonlyMap<string, DeclaredObject>;
   /**
-   * Last version of each object that could be in force. Differs from `objects` where the newest
-   * version is a mistake that is contained.
+   * Last valid version of each object. Differs from `objects` where the newest version is invalid
+   * and therefore not in force.
    */
   lastGood: ReadonlyMap<string, DeclaredObject>;
   /** All changes up to this revision are known. */
   asOf: number;
   /**
-   * Deletions up to this revision may be missing, because a list does not show them. A peer that
-   * asks from before it gets the complete configuration.
+   * Deletions up to this revision may be missing, because lists do not contain them. A peer that
+   * asks for changes since an earlier revision gets the complete configuration.
    */
   floor: number;
 }
 
-/** What one source of the configuration tells. */
+/** Update from one source of the configuration. */
 export interface ConfigurationUpdate {
-  /** All changes up to this revision are covered. */
+  /** The update covers all changes up to this revision. */
   asOf: number;
-  /** Changed objects, deletions included; or, when `complete`, all objects that exist. */
+  /** Changed objects, deletions included; or all existing objects if `complete`. */
   objects: DeclaredObject[];
-  /** Whether an object that is missing here does not exist as of `asOf`. */
+  /** Whether an object that is missing here did not exist at revision `asOf`. */
   complete: boolean;
-  /** Earlier versions that the sender has in force, because the newest ones are mistakes. */
+  /** Earlier versions that are in force at the sender, because the newest ones are invalid. */
   lastGood?: DeclaredObject[];
 }
 
 type Objects = ReadonlyMap<string, DeclaredObject>;
 
-/** Deletions remembered; older ones are told by complete updates. */
+/** Maximum number of deletions stored. Peers learn of older ones from complete updates. */
 const MAX_DELETIONS = 1_000;
 
-/** A store that knows nothing. */
+/** Creates an empty store. */
 export function createConfigStore(): ConfigStore {
   return { objects: new Map(), lastGood: new Map(), asOf: 0, floor: 0 };
 }
 
-/** Builds the key of an object, as in the platform's collection. */
+/** Returns the name of an object in the platform's collection, such as `Service.search`. */
 export function objectKey(object: { kind: DeclarationKind; name: string }): string {
   return `${object.kind}.${object.name}`;
 }
 
 /**
- * Merges what a source tells. Stale, repeated and reordered updates change nothing that is newer: a
- * restarted relay may read a stale copy, and a deleted object may stand in a list that was read
- * before its deletion.
+ * Merges an update. Stale, repeated and reordered updates never replace newer objects: a restarted
+ * relay may read a stale copy, and a list that was read before a deletion still contains the
+ * object.
  *
  * @example
  * store = mergeUpdate(store, { asOf: 12, objects, complete: true });
@@ -64,41 +64,41 @@
   if (update.complete) deleteMissing(objects, update);
   const candidates = mergeNewer(store.lastGood, update.lastGood ?? []);
   const lastGood = selectLastGood(objects, candidates);
-  // a store that was behind a complete update has not seen the deletions before it one by one.
+  // if the store was older than a complete update, it never received the deletions in between.
   const floor = update.complete && update.asOf > store.asOf ? update.asOf : store.floor;
   const asOf = Math.max(store.asOf, update.asOf);
   return dropOldDeletions({ objects, lastGood, asOf, floor });
 }
 
 /**
- * Answers a peer that knows all changes up to `since`.
+ * Returns the update for a peer that knows all changes up to revision `since`.
  *
  * @example
  * const update = updateSince(store, peer.revision);
  */
 export function updateSince(store: ConfigStore, since: number): ConfigurationUpdate {
   const all = [...store.objects.values()];
-  const lastGood = [...store.lastGood.values()].filter((object) => isReplaced(store, object));
+  const lastGood = [...store.lastGood.values()].filter((object) => hasNewerVersion(store, object));
   const common = { asOf: store.asOf, ...(lastGood.length > 0 && { lastGood }) };
   if (since < store.floor) return { ...common, objects: all, complete: true };
   const objects = all.filter(({ revision }) => revision > since);
   return { ...common, objects, complete: false };
 }
 
-/** Keys of the objects whose newest version is a mistake and of which no earlier one is known. */
+/** Keys of the objects whose newest version is invalid and that have no known valid version. */
 export function missingLastGood({ objects, lastGood }: ConfigStore): string[] {
   return [...objects]
     .filter(([key, object]) => !namesKnownService(object, objects) && !lastGood.has(key))
     .map(([key]) => key);
 }
 
-/** Whether the service that a class names is declared; true for other kinds. */
+/** Whether the service that a class refers to is declared; true for other kinds. */
 export function namesKnownService(object: DeclaredObject, objects: Objects): boolean {
   if (object.declaration?.kind !== 'WorkClass') return true;
   return objects.get(`Service.${object.declaration.service}`)?.declaration !== undefined;
 }
 
-/** Whether two states can differ in what is in force. */
+/** Whether two states contain the same revisions, so that the same configuration is in force. */
 export function hasSameObjects(a: ConfigStore, b: ConfigStore): boolean {
   return haveSameRevisions(a.objects, b.objects) && haveSameRevisions(a.lastGood, b.lastGood);
 }
@@ -121,8 +121,8 @@
 }
 
 /**
- * An object that a complete update lacks was deleted while this router did not look. Objects newer
- * than the update are kept: the update may come from a stale read.
+ * Marks objects as deleted that are missing from a complete update: the store has missed their
+ * deletion. Objects newer than the update stay, because the update may come from a stale read.
  */
 function deleteMissing(objects: Map<string, DeclaredObject>, update: ConfigurationUpdate): void {
   const present = new Set(update.objects.map(objectKey));
@@ -132,7 +132,7 @@
   }
 }
 
-/** Selects for each existing object its newest version, or the last one before a mistake. */
+/** Selects the last valid version of each existing object. */
 function selectLastGood(objects: Objects, candidates: Objects): Map<string, DeclaredObject> {
   const lastGood = new Map<string, DeclaredObject>();
   for (const [key, object] of objects) {
@@ -143,7 +143,7 @@
   return lastGood;
 }
 
-function isReplaced(store: ConfigStore, object: DeclaredObject): boolean {
+function hasNewerVersion(store: ConfigStore, object: DeclaredObject): boolean {
   return store.objects.get(objectKey(object))?.revision !== object.revision;
 }
 
--- a/packages/core/src/runtime/configStore/effectiveConfig.ts
+++ b/packages/core/src/runtime/configStore/effectiveConfig.ts
@@ -1,4 +1,4 @@
-/** The configuration in force: declared objects with operators' mistakes contained. */
+/** The configuration in force. An invalid object does not affect the others. */
 
 import type {
   ClientAccountDeclaration,
@@ -10,16 +10,16 @@
 import { shareTolerance } from '../declaration/guards.js';
 import { namesKnownService, objectKey } from './configStore.js';
 
-/** A mistake that was contained. */
+/** A mistake in the declared objects that was corrected or not put in force. */
 export interface ConfigFinding {
   type: 'shares-scaled' | 'unknown-service-in-class';
   /** `{kind}.{name}` of the object concerned. */
   object: string;
-  /** Sentence that says what to change. */
+  /** Sentence that tells the operator what to change. */
   detail: string;
 }
 
-/** What routers act upon. */
+/** The configuration that routers use. */
 export interface EffectiveConfig {
   revision: number;
   deployment: DeploymentDeclaration;
@@ -29,7 +29,7 @@
   findings: ConfigFinding[];
 }
 
-/** In force until operators declare a deployment. */
+/** Deployment in force until operators declare one. */
 export const defaultDeployment: DeploymentDeclaration = {
   kind: 'Deployment',
   name: 'default',
@@ -38,18 +38,18 @@
 };
 
 /**
- * Resolves the configuration in force. Each object is judged by itself, so that one mistake leaves
- * all others in force.
+ * Resolves the configuration in force. Each object is checked separately, so that one mistake
+ * leaves all other objects in force.
  *
  * @example
  * const config = resolveEffectiveConfig(store);
  */
 export function resolveEffectiveConfig(store: ConfigStore): EffectiveConfig {
-  const findings = findReplacedClasses(store);
+  const findings = findClassesWithUnknownService(store);
   const good = [...store.lastGood.values()].flatMap((object) => object.declaration ?? []);
   const services = good.filter((item) => item.kind === 'Service');
   const names = new Set(services.map((service) => service.name));
-  // a last good version may itself name a service that was deleted since.
+  // a last valid version may refer to a service that was deleted later.
   const classes = good
     .filter((item) => item.kind === 'WorkClass')
     .filter((workClass) => names.has(workClass.service));
@@ -65,8 +65,8 @@
   };
 }
 
-/** Classes whose newest version is not in force. */
-function findReplacedClasses({ objects }: ConfigStore): ConfigFinding[] {
+/** Reports the classes whose newest version refers to an unknown service and is not in force. */
+function findClassesWithUnknownService({ objects }: ConfigStore): ConfigFinding[] {
   return [...objects.values()]
     .filter((object) => !namesKnownService(object, objects))
     .map((object) => ({
@@ -77,10 +77,10 @@
 }
 
 /**
- * Scales the budget shares of a service's classes down to a sum of 1 where they pass it. Without
- * this the classes that come first could draw what was meant for the others. A class with the share
- * 1 has no cap of its own: it is neither added up nor scaled, as it takes nothing from the others
- * that they were promised.
+ * Scales down the budget shares of a service's classes if their sum exceeds 1. Otherwise the
+ * classes that spend first could use the shares of the others. A class with a share of 1 has no cap
+ * of its own. It is neither counted nor scaled, because it takes nothing from the shares of the
+ * others.
  */
 function scaleShares(classes: WorkClassDeclaration[]): {
   workClasses: WorkClassDeclaration[];
--- a/packages/core/src/runtime/declaration/checkDeclarations.ts
+++ b/packages/core/src/runtime/declaration/checkDeclarations.ts
@@ -1,4 +1,4 @@
-/** Checks declared objects against each other and against what is already in force. */
+/** Checks declared objects against each other and against the objects in force. */
 
 import type {
   ClientAccountDeclaration,
@@ -6,29 +6,29 @@
   ServiceDeclaration,
   WorkClassDeclaration,
 } from '../../types/declaration.js';
-import type { ObjectKey, SourceFile, WrittenObject } from './readDeclarations.js';
+import type { ObjectKey, SourceFile, ParsedObject } from './readDeclarations.js';
 import { faultOf, objectName, readDeclarations } from './readDeclarations.js';
 import type { SourceFault } from '../../utils/jsonc.js';
 import { closestWord } from '../../utils/jsoncCheck.js';
 import { completeDeclaration } from './declarationSchema.js';
 
-/** Objects that may be put in force, and the faults that keep the others out. */
+/** Objects that may be put in force, and the faults of the rejected ones. */
 export interface CheckedDeclarations {
   accepted: Declaration[];
   faults: SourceFault[];
-  /** Faulty objects that could be named; what is in force of them stays in force. */
+  /** Faulty objects that could be identified. Their versions in force stay in force. */
   faulty: ObjectKey[];
-  /** Whether some faulty object could not be named, so that nothing may be pruned. */
+  /** Whether some faulty object could not be identified, so that nothing may be pruned. */
   unnamedFaults: boolean;
 }
 
 interface Candidate {
-  object: WrittenObject;
+  object: ParsedObject;
   declaration: Declaration;
 }
 
-/** What an object may refer to: candidates and what is in force. */
-interface World {
+/** Objects that others may refer to: the candidates and the objects in force. */
+interface ReferenceIndex {
   services: Map<string, ServiceDeclaration>;
   classes: Map<string, WorkClassDeclaration>;
 }
@@ -50,13 +50,13 @@
   const faults = [...read.faults];
   const faulty = [...read.faulty];
   let candidates = completeObjects(read.objects, inForce);
-  // a fault in one object can take the ground from under another, so repeat until none is found
+  // a rejected object invalidates the objects that refer to it, so repeat until none is found
   for (let found = true; found;) {
     found = false;
-    const world = createWorld(candidates, inForce);
+    const references = createReferenceIndex(candidates, inForce);
     const sound: Candidate[] = [];
     for (const candidate of candidates) {
-      const own = checkCandidate(candidate, candidates, inForce, world);
+      const own = checkCandidate(candidate, candidates, inForce, references);
       if (own.length === 0) {
         sound.push(candidate);
         continue;
@@ -72,33 +72,36 @@
 }
 
 function completeObjects(
-  objects: readonly WrittenObject[],
+  objects: readonly ParsedObject[],
   inForce: readonly Declaration[],
 ): Candidate[] {
-  const written = objects.map((object) => object.written);
-  const services = [...inForce, ...written].filter((one) => one.kind === 'Service');
+  const parsed = objects.map((object) => object.parsed);
+  const services = [...inForce, ...parsed].filter((one) => one.kind === 'Service');
   const types = new Map(services.map((service) => [service.name, service.type]));
   const isPlain = (service: string): boolean => types.get(service) === 'plain';
   return objects.map((object) => ({
     object,
-    declaration: completeDeclaration(object.written, isPlain),
+    declaration: completeDeclaration(object.parsed, isPlain),
   }));
 }
 
-function createWorld(candidates: readonly Candidate[], inForce: readonly Declaration[]): World {
-  const world: World = { services: new Map(), classes: new Map() };
+function createReferenceIndex(
+  candidates: readonly Candidate[],
+  inForce: readonly Declaration[],
+): ReferenceIndex {
+  const references: ReferenceIndex = { services: new Map(), classes: new Map() };
   for (const one of [...inForce, ...candidates.map(({ declaration }) => declaration)]) {
-    if (one.kind === 'Service') world.services.set(one.name, one);
-    if (one.kind === 'WorkClass') world.classes.set(one.name, one);
+    if (one.kind === 'Service') references.services.set(one.name, one);
+    if (one.kind === 'WorkClass') references.classes.set(one.name, one);
   }
-  return world;
+  return references;
 }
 
 function checkCandidate(
   candidate: Candidate,
   all: readonly Candidate[],
   inForce: readonly Declaration[],
-  world: World,
+  references: ReferenceIndex,
 ): SourceFault[] {
   const faults: SourceFault[] = [];
   const report: ReportFault = (path, message, hint) => {
@@ -108,10 +111,10 @@
   const { declaration } = candidate;
   switch (declaration.kind) {
     case 'WorkClass':
-      checkWorkClass(declaration, world, report);
+      checkWorkClass(declaration, references, report);
       break;
     case 'ClientAccount':
-      checkAccountClass(declaration, world, report);
+      checkAccountClass(declaration, references, report);
       checkAccountKeys(candidate, declaration, all, inForce, report);
       break;
     case 'Service':
@@ -124,7 +127,7 @@
   return faults;
 }
 
-// both copies are refused: which of the two was meant cannot be known
+// both copies are rejected, because it is unknown which one was meant
 function checkDuplicate(
   candidate: Candidate,
   all: readonly Candidate[],
@@ -142,15 +145,15 @@
 
 function checkWorkClass(
   declaration: WorkClassDeclaration,
-  world: World,
+  references: ReferenceIndex,
   report: ReportFault,
 ): void {
   const { target, service } = declaration;
-  if (!world.services.has(service)) {
+  if (!references.services.has(service)) {
     report(
       ['service'],
       `there is no service "${service}"`,
-      suggestName(service, [...world.services.keys()], 'Service'),
+      suggestName(service, [...references.services.keys()], 'Service'),
     );
   }
   if (target.completeMs >= target.firstTokenMs) return;
@@ -163,19 +166,19 @@
 
 function checkAccountClass(
   declaration: ClientAccountDeclaration,
-  world: World,
+  references: ReferenceIndex,
   report: ReportFault,
 ): void {
   const { defaultClass } = declaration;
-  if (defaultClass === undefined || world.classes.has(defaultClass)) return;
+  if (defaultClass === undefined || references.classes.has(defaultClass)) return;
   report(
     ['defaultClass'],
     `there is no class "${defaultClass}"`,
-    suggestName(defaultClass, [...world.classes.keys()], 'WorkClass'),
+    suggestName(defaultClass, [...references.classes.keys()], 'WorkClass'),
   );
 }
 
-// a key of two accounts would bill one account for the other's requests
+// if two accounts shared a key, one would be billed for the requests of the other
 function checkAccountKeys(
   candidate: Candidate,
   declaration: ClientAccountDeclaration,
@@ -192,7 +195,7 @@
     report(
       ['apiKeyDigests', index],
       `this API key belongs to the account "${owner.name}" too`,
-      'Make a key of its own for each account and write its digest.',
+      'Create a separate key for each account and write its digest.',
     );
   }
 }
@@ -241,7 +244,7 @@
   );
 }
 
-/** All other objects as they would be in force, without older versions of candidates. */
+/** All other objects that would be in force; candidates replace their older versions. */
 function otherDeclarations(
   candidate: Candidate,
   all: readonly Candidate[],
@@ -249,8 +252,8 @@
 ): Declaration[] {
   const candidates = all.map(({ declaration }) => declaration);
   const replaced = new Set(candidates.map(objectName));
-  const standing = inForce.filter((one) => !replaced.has(objectName(one)));
-  return [...standing, ...candidates.filter((one) => one !== candidate.declaration)];
+  const unreplaced = inForce.filter((one) => !replaced.has(objectName(one)));
+  return [...unreplaced, ...candidates.filter((one) => one !== candidate.declaration)];
 }
 
 function suggestName(name: string, known: string[], kind: string): string {
--- a/packages/core/src/runtime/declaration/declarationSchema.ts
+++ b/packages/core/src/runtime/declaration/declarationSchema.ts
@@ -1,9 +1,9 @@
-/** Schemas of declared objects; each description says what an operator writes there. */
+/** Schemas of declared objects. Each description tells operators which value to write. */
 
 import type { Declaration, DeclarationKind } from '../../types/declaration.js';
 import { z } from 'zod';
 
-/** Kinds in the order in which they refer to each other: a kind refers only to earlier ones. */
+/** All kinds, in an order in which each kind refers only to earlier ones. */
 export const declarationKinds = [
   'Deployment',
   'Service',
@@ -127,23 +127,23 @@
   ])
   .describe('an object with a kind');
 
-/** A declared object with defaults, except those that depend on another object. */
-export type WrittenDeclaration = z.infer<typeof declarationSchema>;
+/** A parsed object with defaults, except for defaults that depend on another object. */
+export type ParsedDeclaration = z.infer<typeof declarationSchema>;
 
 /**
- * Fills in the defaults that depend on another object: a class is idempotent unless its service is
- * plain, because a plain service's calls may be bookings.
+ * Sets the defaults that depend on another object: a class is idempotent unless its service is
+ * plain, because calls of a plain service may have side effects, such as bookings.
  */
 export function completeDeclaration(
-  written: WrittenDeclaration,
+  parsed: ParsedDeclaration,
   isPlainService: (service: string) => boolean,
 ): Declaration {
-  if (written.kind === 'ClientAccount') {
-    const { defaultClass, ...rest } = written;
+  if (parsed.kind === 'ClientAccount') {
+    const { defaultClass, ...rest } = parsed;
     return defaultClass === undefined ? rest : { ...rest, defaultClass };
   }
-  if (written.kind !== 'WorkClass') return written;
-  return { ...written, idempotent: written.idempotent ?? !isPlainService(written.service) };
+  if (parsed.kind !== 'WorkClass') return parsed;
+  return { ...parsed, idempotent: parsed.idempotent ?? !isPlainService(parsed.service) };
 }
 
 const derivedKeys: Record<string, string> = {
@@ -154,7 +154,7 @@
   priority: 'The system derives priorities; set importance instead.',
 };
 
-const derivedKeyForms: [RegExp, keyof typeof derivedKeys][] = [
+const derivedKeyPatterns: [RegExp, keyof typeof derivedKeys][] = [
   [/^weight/i, 'weight'],
   [/^(instance|host|endpoint|url|address)/i, 'instance'],
   [/^(server|backend|node|upstream)/i, 'server'],
@@ -162,8 +162,10 @@
   [/^priorit/i, 'priority'],
 ];
 
-/** Explains keys of other systems that operators write by habit. */
+/**
+ * Returns a hint for keys that operators know from other systems and that are not declared here.
+ */
 export function explainDerivedKey(key: string): string | undefined {
-  const form = derivedKeyForms.find(([pattern]) => pattern.test(key));
+  const form = derivedKeyPatterns.find(([pattern]) => pattern.test(key));
   return form && `Remove it. ${derivedKeys[form[1]] ?? ''}`;
 }
--- a/packages/core/src/runtime/declaration/guards.ts
+++ b/packages/core/src/runtime/declaration/guards.ts
@@ -1,4 +1,4 @@
-/** Guard rails: changes that are well-formed and probably mistakes need an acknowledgement. */
+/** Guard rails: valid changes that are probably mistakes need an explicit acknowledgement. */
 
 import type {
   ClientAccountDeclaration,
@@ -9,7 +9,7 @@
 import type { AccountId, Tokens } from '../../types/ids.js';
 import { objectName } from './readDeclarations.js';
 
-/** All guard rails, as written after `--acknowledge`. */
+/** All guard rails; operators write these names after `--acknowledge`. */
 export const guardNames = [
   'share-over-100',
   'unreachable-target',
@@ -22,49 +22,49 @@
 
 export type GuardName = (typeof guardNames)[number];
 
-/** A guard rail that a change meets. */
+/** A guard rail that a change triggers. */
 export interface GuardFinding {
   guard: GuardName;
-  /** What would happen, in a sentence. */
+  /** Sentence that says what the change would cause. */
   message: string;
 }
 
-/** A change as the guards see it. */
+/** The versions of an object before and after a change. */
 export interface GuardedChange {
   before?: Declaration;
   after?: Declaration;
 }
 
-/** What the guards know besides the change. */
-export interface GuardWorld {
-  /** All objects as they would be in force after the plan. */
+/** Information about the whole plan that the guards use. */
+export interface GuardContext {
+  /** All objects that would be in force after the plan. */
   after: readonly Declaration[];
   /** Number of objects in force before the plan. */
   countBefore: number;
   /** Number of objects that the plan removes. */
   removals: number;
-  /** Unspent tokens by account; an account that is absent counts as unknown. */
+  /** Unspent tokens by account; the balance of an absent account is unknown. */
   budgets: ReadonlyMap<AccountId, Tokens>;
 }
 
-/** No engine reaches a first token faster than this, network included. */
+/** Lower bound of the time to the first token of any engine, network included. */
 const fastestFirstTokenMs = 5;
-/** No engine gives further tokens faster than this. */
+/** Lower bound of the time between later tokens of any engine. */
 const fastestTokenMs = 2;
-/** Removals up to this number are never a mass removal. */
-const fewRemovals = 2;
-/** Part of all objects above which removals count as a mass removal. */
-const massRemovalPart = 0.2;
+/** Up to this number of removals, the guard `mass-removal` is never triggered. */
+const maxUnguardedRemovals = 2;
+/** Fraction of all objects above which removals trigger the guard `mass-removal`. */
+const massRemovalFraction = 0.2;
 /** Tolerance for sums of decimal fractions. */
 export const shareTolerance = 1e-9;
 
-/** Finds all guard rails that one change meets. */
-export function findGuards(change: GuardedChange, world: GuardWorld): GuardFinding[] {
+/** Returns all guard rails that a change triggers. */
+export function findGuards(change: GuardedChange, context: GuardContext): GuardFinding[] {
   const { before, after } = change;
-  if (!after) return before ? guardRemoval(before, world) : [];
+  if (!after) return before ? guardRemoval(before, context) : [];
   switch (after.kind) {
     case 'WorkClass':
-      return guardWorkClass(before?.kind === 'WorkClass' ? before : undefined, after, world);
+      return guardWorkClass(before?.kind === 'WorkClass' ? before : undefined, after, context);
     case 'ClientAccount':
       return before?.kind === 'ClientAccount' ? guardKeys(before, after) : [];
     case 'Service':
@@ -77,14 +77,14 @@
 function guardWorkClass(
   before: WorkClassDeclaration | undefined,
   after: WorkClassDeclaration,
-  world: GuardWorld,
+  context: GuardContext,
 ): GuardFinding[] {
-  const findings = [...guardShares(after, world), ...guardTarget(after, world)];
+  const findings = [...guardShares(after, context), ...guardTarget(after, context)];
   if (after.budgetShare === 0) {
     const message = `a budget share of 0 refuses every request of "${after.name}"`;
     findings.push({ guard: 'refuses-whole-class', message });
   }
-  if (after.idempotent && isNonIdempotent(before, after, world)) {
+  if (after.idempotent && isNonIdempotent(before, after, context)) {
     const message = `a request of "${after.name}" could then run more than once, such as a second booking`;
     findings.push({ guard: 'allows-repeats', message });
   }
@@ -94,16 +94,16 @@
 function isNonIdempotent(
   before: WorkClassDeclaration | undefined,
   after: WorkClassDeclaration,
-  world: GuardWorld,
+  context: GuardContext,
 ): boolean {
   if (before) return !before.idempotent;
-  return findService(after.service, world)?.type === 'plain';
+  return findService(after.service, context)?.type === 'plain';
 }
 
-// a class with the share 1 has no cap of its own, so only capped classes are added up
-function guardShares(after: WorkClassDeclaration, world: GuardWorld): GuardFinding[] {
+// a class with a share of 1 has no cap of its own, so only capped classes are counted
+function guardShares(after: WorkClassDeclaration, context: GuardContext): GuardFinding[] {
   if (after.budgetShare === 1) return [];
-  const capped = world.after
+  const capped = context.after
     .filter((one) => one.kind === 'WorkClass')
     .filter((one) => one.service === after.service && one.budgetShare < 1);
   const sum = capped.reduce((total, one) => total + one.budgetShare, 0);
@@ -113,8 +113,8 @@
   return [{ guard: 'share-over-100', message }];
 }
 
-function guardTarget(after: WorkClassDeclaration, world: GuardWorld): GuardFinding[] {
-  if (findService(after.service, world)?.type !== 'model') return [];
+function guardTarget(after: WorkClassDeclaration, context: GuardContext): GuardFinding[] {
+  if (findService(after.service, context)?.type !== 'model') return [];
   const { firstTokenMs, completeMs } = after.target;
   const findings: GuardFinding[] = [];
   if (firstTokenMs < fastestFirstTokenMs) {
@@ -145,29 +145,31 @@
   return [{ guard: 'refuses-whole-class', message }];
 }
 
-function guardRemoval(before: Declaration, world: GuardWorld): GuardFinding[] {
+function guardRemoval(before: Declaration, context: GuardContext): GuardFinding[] {
   const findings: GuardFinding[] = [];
   const name = objectName(before);
-  if (world.removals > Math.max(fewRemovals, world.countBefore * massRemovalPart)) {
-    const message = `${world.removals} of ${world.countBefore} objects would be removed, ${name} among them`;
+  if (
+    context.removals > Math.max(maxUnguardedRemovals, context.countBefore * massRemovalFraction)
+  ) {
+    const message = `${context.removals} of ${context.countBefore} objects would be removed, ${name} among them`;
     findings.push({ guard: 'mass-removal', message });
   }
   if (before.kind === 'WorkClass' || before.kind === 'Service') {
     const message = `every request of "${before.name}" would be refused`;
     findings.push({ guard: 'refuses-whole-class', message });
   }
-  if (before.kind === 'ClientAccount') findings.push(...guardBudget(before, world));
+  if (before.kind === 'ClientAccount') findings.push(...guardBudget(before, context));
   return findings;
 }
 
-function guardBudget(before: ClientAccountDeclaration, world: GuardWorld): GuardFinding[] {
-  const left = world.budgets.get(before.name);
+function guardBudget(before: ClientAccountDeclaration, context: GuardContext): GuardFinding[] {
+  const left = context.budgets.get(before.name);
   if (left !== undefined && left <= 0) return [];
   const amount = left === undefined ? 'an unknown number of' : String(left);
   const message = `"${before.name}" still has ${amount} prepaid tokens, which nobody could spend`;
   return [{ guard: 'removes-account-with-budget', message }];
 }
 
-function findService(name: string, world: GuardWorld): ServiceDeclaration | undefined {
-  return world.after.filter((one) => one.kind === 'Service').find((one) => one.name === name);
+function findService(name: string, context: GuardContext): ServiceDeclaration | undefined {
+  return context.after.filter((one) => one.kind === 'Service').find((one) => one.name === name);
 }
--- a/packages/core/src/runtime/declaration/planChanges.ts
+++ b/packages/core/src/runtime/declaration/planChanges.ts
@@ -1,4 +1,4 @@
-/** Plans the changes that bring what is in force to what the files say. */
+/** Plans the changes that turn the configuration in force into the one in the files. */
 
 import type { Declaration, DeclaredObject } from '../../types/declaration.js';
 import type { GuardFinding, GuardName } from './guards.js';
@@ -9,44 +9,45 @@
 import { findGuards } from './guards.js';
 import { objectName } from './readDeclarations.js';
 
-/** A planned change of one object, against the revision that it was planned upon. */
+/** A planned change of one object, based on a given revision of it. */
 export interface PlannedChange extends ObjectKey {
   type: ChangeType;
-  /** Revision that must still be in force when the change is made; 0 where there was no object. */
+  /** Revision that must still be in force when the change is made; 0 for a new object. */
   fromRevision: number;
   before?: Declaration;
   after?: Declaration;
-  /** Guard rails that the change meets. */
+  /** Guard rails that the change triggers. */
   guards: GuardFinding[];
 }
 
-/** A change that cannot be made, whatever is acknowledged. */
+/** A change that cannot be made, regardless of acknowledgements. */
 export interface BlockedChange extends ObjectKey {
   message: string;
 }
 
-/** What would change. */
+/** Result of comparing the files with the configuration in force. */
 export interface Plan {
   plannedAt: EpochMs;
   changes: PlannedChange[];
   unchanged: ObjectKey[];
-  /** In force, absent from the files and left alone because pruning was not asked for. */
+  /** Objects in force that are absent from the files and stay, because `prune` is not set. */
   kept: ObjectKey[];
   blocked: BlockedChange[];
 }
 
-/** What a plan takes into account besides the objects. */
+/** Options of {@link planChanges}. */
 export interface PlanOptions {
   /** Whether objects that are absent from the files are removed. @default false */
   prune?: boolean;
-  /** Objects that are in the files and faulty; they stay as they are in force. */
+  /** Faulty objects in the files. Their versions in force stay unchanged. */
   faulty?: readonly ObjectKey[];
-  /** Unspent tokens by account; an absent account counts as unknown. */
+  /** Unspent tokens by account; the balance of an absent account is unknown. */
   budgets?: ReadonlyMap<AccountId, Tokens>;
 }
 
 /**
- * Compares what is in force with what is wanted. Each change carries its own guard rails.
+ * Compares the objects in force with the wanted ones. Each change lists the guard rails it
+ * triggers.
  *
  * @example
  * const plan = planChanges(current, accepted, now, { prune: true, faulty });
@@ -66,7 +67,7 @@
   return addGuards(plan, current, options.budgets ?? new Map());
 }
 
-/** Guard rails of a plan that are not among the acknowledged ones. */
+/** Guard rails of a change that are not acknowledged. */
 export function unacknowledgedGuards(
   change: PlannedChange,
   acknowledged: readonly GuardName[],
@@ -74,22 +75,23 @@
   return change.guards.filter(({ guard }) => !acknowledged.includes(guard));
 }
 
-/** What would be in force once the changes are made. */
+/** Objects that would be in force after the changes. */
 export function objectsAfter(
   current: readonly DeclaredObject[],
   changes: readonly PlannedChange[],
 ): Declaration[] {
   const changed = new Set(changes.map(objectName));
-  const standing = current.filter((object) => !changed.has(objectName(object)));
+  const remaining = current.filter((object) => !changed.has(objectName(object)));
   return [
-    ...standing.map((object) => object.declaration),
+    ...remaining.map((object) => object.declaration),
     ...changes.map(({ after }) => after),
   ].filter((one) => one !== undefined);
 }
 
 /**
- * Says which reference a change would break, given what is in force at that moment. While a plan is
- * carried out an earlier change may have been withheld, so what the plan relied on may be missing.
+ * Describes the reference that a change would break, given the objects in force at that moment;
+ * undefined if there is none. While a plan is applied, an earlier change may have been skipped, so
+ * an object that the plan relied on may be missing.
  *
  * @example
  * const broken = findBrokenReference(change, inForce);
@@ -124,7 +126,7 @@
   plan.changes.push({ ...key, type: 'update', fromRevision, before, after, guards: [] });
 }
 
-/** Objects in force that neither the wanted nor the faulty objects name. */
+/** Objects in force that are neither among the wanted nor among the faulty objects. */
 function findAbsent(
   current: readonly DeclaredObject[],
   wanted: readonly Declaration[],
@@ -134,20 +136,20 @@
   return current.filter((object) => object.declaration && !named.has(objectName(object)));
 }
 
-// what others still refer to is removed last, so no object ever refers to nothing
+// an object is removed only after those that refer to it, so that no reference ever dangles
 function planRemovals(
   removals: readonly DeclaredObject[],
   current: readonly DeclaredObject[],
   plan: Plan,
 ): void {
   const removed = new Set(removals.map(objectName));
-  const standing = objectsAfter(
+  const remaining = objectsAfter(
     current.filter((object) => !removed.has(objectName(object))),
     plan.changes,
   );
   const ordered = [...removals].sort((a, b) => kindRank(b.kind) - kindRank(a.kind));
   for (const object of ordered) {
-    const user = standing.find((one) => refersTo(one, object));
+    const user = remaining.find((one) => refersTo(one, object));
     if (user) {
       const message = `${objectName(user)} still refers to it. Change that object first.`;
       plan.blocked.push({ ...keyOf(object), message });
@@ -165,13 +167,16 @@
   current: readonly DeclaredObject[],
   budgets: ReadonlyMap<AccountId, Tokens>,
 ): Plan {
-  const world = {
+  const context = {
     after: objectsAfter(current, plan.changes),
     countBefore: current.filter((object) => object.declaration).length,
     removals: plan.changes.filter(({ type }) => type === 'delete').length,
     budgets,
   };
-  const changes = plan.changes.map((change) => ({ ...change, guards: findGuards(change, world) }));
+  const changes = plan.changes.map((change) => ({
+    ...change,
+    guards: findGuards(change, context),
+  }));
   return { ...plan, changes };
 }
 
--- a/packages/core/src/runtime/declaration/readDeclarations.ts
+++ b/packages/core/src/runtime/declaration/readDeclarations.ts
@@ -1,7 +1,9 @@
-/** Reads declaration files; each object is judged by itself, so a bad one hides no good one. */
+/**
+ * Reads declaration files. Each object is checked separately, so that a faulty one hides no other.
+ */
 
 import type { JsoncDocument, JsoncPath, SourceFault } from '../../utils/jsonc.js';
-import type { WrittenDeclaration } from './declarationSchema.js';
+import type { ParsedDeclaration } from './declarationSchema.js';
 import type { DeclarationKind } from '../../types/declaration.js';
 import { checkWithPositions, faultAt } from '../../utils/jsoncCheck.js';
 import { declarationKinds, declarationSchema, explainDerivedKey } from './declarationSchema.js';
@@ -20,20 +22,20 @@
   name: string;
 }
 
-/** A well-formed object and where it stands. */
-export interface WrittenObject {
-  written: WrittenDeclaration;
+/** A well-formed object and its position in a file. */
+export interface ParsedObject {
+  parsed: ParsedDeclaration;
   document: JsoncDocument;
   at: JsoncPath;
 }
 
-/** What the files hold. */
+/** Objects and faults of the files read. */
 export interface ReadResult {
-  objects: WrittenObject[];
+  objects: ParsedObject[];
   faults: SourceFault[];
-  /** Objects that were recognised and are faulty; what is in force of them stays in force. */
+  /** Faulty objects that could be identified. Their versions in force stay in force. */
   faulty: ObjectKey[];
-  /** Whether some faulty object could not even be named, so that nothing may be pruned. */
+  /** Whether some faulty object could not be identified, so that nothing may be pruned. */
   unnamedFaults: boolean;
 }
 
@@ -57,9 +59,9 @@
   return result;
 }
 
-/** Adds a fault that was found later to an object, which then counts as faulty. */
+/** Creates a fault at a path within an object. */
 export function faultOf(
-  object: WrittenObject,
+  object: ParsedObject,
   path: JsoncPath,
   message: string,
   hint: string,
@@ -67,7 +69,7 @@
   return faultAt(object.document, [...object.at, ...path], message, hint);
 }
 
-/** Name under which an object is kept, such as `WorkClass.reservations`. */
+/** Name under which an object is stored, such as `WorkClass.reservations`. */
 export function objectName(key: ObjectKey): string {
   return `${key.kind}.${key.name}`;
 }
@@ -83,7 +85,7 @@
   const name = rest.join('.');
   if (kind && name !== '') return Result.ok({ kind, name });
   return Result.err(
-    `"${text}" is no object name. Write Kind.name with one of ${declarationKinds.join(', ')}.`,
+    `"${text}" is not an object name. Write Kind.name with one of ${declarationKinds.join(', ')}.`,
   );
 }
 
@@ -96,20 +98,20 @@
   const checked = checkWithPositions(declarationSchema, document, {
     at,
     explainKey: explainDerivedKey,
-    // whoever wrote the key itself in place of its digest must not find it in the CI log too
+    // if an operator wrote the key itself instead of its digest, the key must not reach the CI log
     isSecret: (path) => path.includes('apiKeyDigests'),
   });
   if (checked.isOk) {
-    result.objects.push({ written: checked.value, document, at });
+    result.objects.push({ parsed: checked.value, document, at });
     return;
   }
   result.faults.push(...checked.error);
-  const key = recogniseObject(document, at);
+  const key = identifyObject(document, at);
   if (key) result.faulty.push(key);
   else result.unnamedFaults = true;
 }
 
-function recogniseObject(document: JsoncDocument, at: JsoncPath): ObjectKey | undefined {
+function identifyObject(document: JsoncDocument, at: JsoncPath): ObjectKey | undefined {
   const index = at[0];
   const value = index === undefined ? document.value : (document.value as unknown[])[Number(index)];
   if (typeof value !== 'object' || value === null) return undefined;
--- a/packages/core/src/runtime/declaration/storedDeclaration.ts
+++ b/packages/core/src/runtime/declaration/storedDeclaration.ts
@@ -1,10 +1,10 @@
 /**
- * How declared objects are kept on the platform, and the record of the change that wrote them.
+ * Stored form of declared objects on the platform, with the record of the change that wrote them.
  *
- * The record stands inside the object, so it takes effect in the same conditional update as the
- * change itself. The audit object is created after that, from the record. A crash between the two
- * loses nothing: whoever next changes or reads the history of the object finds the record and
- * creates the missing audit, and no change replaces a record whose audit does not exist yet.
+ * The record is part of the object, so one conditional update writes both the change and its
+ * record. The audit object is created afterwards, from the record. A crash between the two writes
+ * loses nothing: the next process that changes the object or reads its history finds the record and
+ * creates the missing audit object. No change replaces a record whose audit object does not exist.
  */
 
 import type { Declaration, DeclaredObject } from '../../types/declaration.js';
@@ -15,9 +15,9 @@
 import { guardNames } from './guards.js';
 import { z } from 'zod';
 
-/** Collection of the declared objects, named `Kind.name`. */
+/** Collection of the declared objects. Their names have the form `Kind.name`. */
 export const declarationCollection = 'declarations';
-/** Collection of the audit objects, named by their change id. */
+/** Collection of the audit objects. Their names are the change ids. */
 export const auditCollection = 'audits';
 
 /** The change that wrote a declared object. */
@@ -30,13 +30,13 @@
   fromRevision: number;
   /** Milliseconds since the epoch. */
   at: number;
-  /** Guard rails that were acknowledged. */
+  /** Acknowledged guard rails. */
   guards: GuardName[];
 }
 
 export type ChangeType = 'create' | 'update' | 'delete';
 
-/** What became of a change. */
+/** Result of a change. */
 export type AuditVerdict = 'accepted' | 'refused-guard' | 'refused-conflict';
 
 /** Value of the create-only platform object `audits/{changeId}`. */
@@ -77,7 +77,10 @@
   change: changeRecordSchema.optional(),
 });
 
-/** Builds the value to store. A removal keeps the name, so that no stale read revives the object. */
+/**
+ * Builds the value to store. A removed object is stored with its name and `removed: true`, so that
+ * a stale read cannot restore it.
+ */
 export function createStored(
   key: { kind: Declaration['kind']; name: string },
   declaration: Declaration | undefined,
@@ -88,8 +91,8 @@
 }
 
 /**
- * Reads a stored object. Faulty content is an error of this object alone; the reader keeps what it
- * had in force of it.
+ * Parses a stored object. Returns an error if its content is invalid; the caller then keeps the
+ * version that it had in force.
  *
  * @example
  * const object = readStored(stored.value, Number(stored.version));
@@ -99,22 +102,22 @@
   revision: number,
 ): Result<DeclaredObjectWithChange, string> {
   const head = headSchema.safeParse(value);
-  if (!head.success) return Result.err(`no declared object: ${z.prettifyError(head.error)}`);
+  if (!head.success) return Result.err(`not a declared object: ${z.prettifyError(head.error)}`);
   const { change, removed, ...body } = head.data;
   const base = { kind: body.kind, name: body.name, revision, ...(change && { change }) };
   if (removed) return Result.ok(base);
-  const written = declarationSchema.safeParse(body);
-  if (!written.success) return Result.err(z.prettifyError(written.error));
-  // stored classes always say whether they are idempotent; false is the answer that does no harm
-  return Result.ok({ ...base, declaration: completeDeclaration(written.data, () => true) });
+  const parsed = declarationSchema.safeParse(body);
+  if (!parsed.success) return Result.err(z.prettifyError(parsed.error));
+  // stored classes always contain `idempotent`; a missing one is read as false, the safe value
+  return Result.ok({ ...base, declaration: completeDeclaration(parsed.data, () => true) });
 }
 
-/** A declared object without its revision, which the platform gives as the version. */
+/** A declared object without its revision, which is the version of the platform object. */
 export type DeclaredBody = Omit<DeclaredObject, 'revision'>;
 
 /**
- * Schema for readers of the collection: takes the change record off and reads a removed object as
- * one without declaration, so that a removal comes into force like any other change.
+ * Schema for readers of the collection. It drops the change record and parses a removed object as
+ * one without a declaration, so that a removal takes effect like any other change.
  *
  * @example
  * const collection = { name: 'declarations', schema: declaredBodySchema };
--- a/packages/core/src/utils/hash.ts
+++ b/packages/core/src/utils/hash.ts
@@ -1,4 +1,4 @@
-/** Fast, stable, non-cryptographic hashes for placement. Equal on every instance and version. */
+/** Fast non-cryptographic hashes for placement; the same in every instance and release. */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
@@ -17,7 +17,7 @@
   return mix32(hash);
 }
 
-/** Spreads the bits of a 32-bit number, so that neighbouring inputs give unrelated outputs. */
+/** Mixes the bits of a 32-bit number, so that adjacent inputs give unrelated outputs. */
 export function mix32(value: number): number {
   let hash = value;
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
@@ -25,7 +25,7 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** Rank of an id for a key in rendezvous hashing; the id with the highest one owns the key. */
+/** Score of an id for a key in rendezvous hashing; the id with the highest score owns the key. */
 export function rendezvousRank(keyHash: number, idHash: number): number {
   return mix32(keyHash ^ idHash);
 }
--- a/packages/core/src/utils/intervals.ts
+++ b/packages/core/src/utils/intervals.ts
@@ -1,9 +1,10 @@
-/** Sets of whole numbers as sorted, disjoint, inclusive intervals that never touch. */
+/** Sets of integers as sorted, disjoint, inclusive intervals; adjacent intervals are merged. */
 
 export type Interval = [number, number];
 
 /**
- * Adds a number and merges what then touches. Gives the same array when it was in already.
+ * Adds a number and merges adjacent intervals. Returns the same array if the set contained it
+ * already.
  *
  * @example
  * addToIntervals([[1, 3], [5, 6]], 4); // [[1, 6]]
@@ -29,7 +30,7 @@
   return candidate !== undefined && candidate[1] >= value;
 }
 
-/** Index of the first interval that begins after the value. */
+/** Index of the first interval that starts after the value. */
 function indexAfter(intervals: Interval[], value: number): number {
   let low = 0;
   let high = intervals.length;
--- a/packages/core/src/utils/jsonc.ts
+++ b/packages/core/src/utils/jsonc.ts
@@ -1,4 +1,4 @@
-/** JSON with comments, parsed so that each fault can name its line and column. */
+/** Parser for JSON with comments that reports the line and column of each fault. */
 
 import type { Node, ParseError } from 'jsonc-parser';
 import { findNodeAtLocation, getNodeValue, parseTree, printParseErrorCode } from 'jsonc-parser';
@@ -7,18 +7,18 @@
 /** Steps from the root of a document to a value. */
 export type JsoncPath = (string | number)[];
 
-/** A fault in a file, with its place and what to change. */
+/** A fault in a file, with its position and a hint on how to correct it. */
 export interface SourceFault {
   file: string;
   /** Counted from 1. */
   line: number;
   /** Counted from 1. */
   column: number;
-  /** Dotted path of the value, empty for the whole document. */
+  /** Path of the value with dots, empty for the whole document. */
   path: string;
-  /** What is wrong. */
+  /** Describes the fault. */
   message: string;
-  /** What to change. */
+  /** Tells how to correct it. */
   hint: string;
 }
 
@@ -28,11 +28,11 @@
   column: number;
 }
 
-/** A parsed document that still knows where its values stand. */
+/** A parsed document with the positions of its values. */
 export interface JsoncDocument {
   file: string;
   value: unknown;
-  /** Position of a value or, with `ofKey`, of its key; the nearest parent where it is absent. */
+  /** Position of a value or, with `ofKey`, of its key. If absent, that of the nearest ancestor. */
   positionOf(path: JsoncPath, ofKey?: 'key'): SourcePosition;
 }
 
@@ -50,7 +50,8 @@
 };
 
 /**
- * Parses JSON with comments and trailing commas. Returns all syntax faults and repeated keys.
+ * Parses JSON with comments and trailing commas. Returns the document, or all syntax faults, or all
+ * repeated keys.
  *
  * @example
  * const document = parseJsonc('{ "port": 80 } // entry', 'router.jsonc');
@@ -72,7 +73,7 @@
 }
 
 /**
- * Writes a fault as one line of text.
+ * Formats a fault as one line of text.
  *
  * @example formatFault(fault) // 'a.jsonc:3:5: target.firstTokenMs: must be a number. Write ...'
  */
@@ -81,7 +82,7 @@
   return `${fault.file}:${fault.line}:${fault.column}:${path} ${fault.message}. ${fault.hint}`;
 }
 
-/** Writes a path with dots, as in `classes.0.name`. */
+/** Formats a path with dots, as in `classes.0.name`. */
 export function formatPath(path: JsoncPath): string {
   return path.join('.');
 }
@@ -129,7 +130,7 @@
   return { file, ...positionAt(err.offset, lineStarts), path: '', message, hint };
 }
 
-// JSON parsers keep the last of two equal keys, so the first would be dropped without a word.
+// JSON parsers use the last of several equal keys and would silently ignore the others
 function findRepeatedKeys(
   node: Node,
   path: JsoncPath,
@@ -161,7 +162,7 @@
   first: SourcePosition,
   file: string,
 ): SourceFault {
-  const message = `the key "${String(path.at(-1))}" stands here a second time`;
+  const message = `the key "${String(path.at(-1))}" is repeated here`;
   const hint = `Remove this one or the one on line ${first.line}.`;
   return { file, ...at, path: formatPath(path), message, hint };
 }
--- a/packages/core/src/utils/jsoncCheck.ts
+++ b/packages/core/src/utils/jsoncCheck.ts
@@ -1,4 +1,4 @@
-/** Checks a parsed document against a zod schema and says for each fault what to change. */
+/** Checks a parsed document against a zod schema and gives a hint for each fault. */
 
 import type { JsoncDocument, JsoncPath, SourceFault } from './jsonc.js';
 import { formatPath } from './jsonc.js';
@@ -9,22 +9,22 @@
 
 /** Options of {@link checkWithPositions}. */
 export interface CheckOptions {
-  /** Place of the value within the document. @default the whole document */
+  /** Path of the value within the document. @default the whole document */
   at?: JsoncPath;
-  /** Explains an unknown key that people write for a known reason. */
+  /** Returns a hint for an unknown key, if a specific one is known. */
   explainKey?: (key: string) => string | undefined;
-  /** Whether a value may be a secret, so that no message repeats it. @default none is */
+  /** Whether a value may be a secret that no message may contain. @default no value is */
   isSecret?: (path: JsoncPath) => boolean;
 }
 
-/** Largest edit distance at which an unknown key is taken for a misspelt one. */
-const maxMisspelling = 3;
-/** Characters of a faulty value that a message repeats. */
+/** Maximum edit distance at which a word counts as a misspelling of a known one. */
+const maxMisspellingDistance = 3;
+/** Maximum number of characters of a faulty value in a message. */
 const maxShownLength = 60;
 
 /**
- * Parses a value of a document with a schema. Returns the value with defaults or all faults. A
- * schema's description is used as the hint of its value.
+ * Parses a value of a document with a schema. Returns the value with defaults, or all faults. The
+ * description of a schema is used in the hints for its value.
  *
  * @example
  * const schema = z.strictObject({ port: z.number().describe('a port from 1 to 65535') });
@@ -47,7 +47,7 @@
   return Result.err(faults);
 }
 
-/** Creates a fault at a value of a document. */
+/** Creates a fault at the position of a value. */
 export function faultAt(
   document: JsoncDocument,
   path: JsoncPath,
@@ -59,7 +59,7 @@
 }
 
 /**
- * Finds the known word that a misspelt one probably means.
+ * Finds the known word closest to a misspelt one; undefined if none is close enough.
  *
  * @example closestWord('budgetshare', ['budgetShare']) // 'budgetShare'
  */
@@ -68,7 +68,7 @@
     .map((candidate) => ({ candidate, distance: editDistance(word, candidate) }))
     .sort((a, b) => a.distance - b.distance);
   const best = ranked[0];
-  const limit = Math.min(maxMisspelling, Math.ceil(word.length / 2));
+  const limit = Math.min(maxMisspellingDistance, Math.ceil(word.length / 2));
   return best && best.distance <= limit ? best.candidate : undefined;
 }
 
@@ -97,11 +97,11 @@
     case 'invalid_type':
       return `${given} is not of type ${issue.expected}`;
     case 'too_small':
-      return `${given} is too small, the least is ${String(issue.minimum)}`;
+      return `${given} is too small, the minimum is ${String(issue.minimum)}`;
     case 'too_big':
-      return `${given} is too large, the most is ${String(issue.maximum)}`;
+      return `${given} is too large, the maximum is ${String(issue.maximum)}`;
     case 'invalid_format':
-      return `${given} does not have the right form`;
+      return `${given} does not have the required format`;
     case 'invalid_union':
       return `${given} is not a known kind`;
     case 'custom':
@@ -140,7 +140,10 @@
   return inner instanceof z.ZodObject ? Object.keys(inner.shape) : [];
 }
 
-/** Follows a path into a schema; wrappers without a description of their own are taken off. */
+/**
+ * Finds the schema at a path. Wrappers such as optional are removed, unless they have a description
+ * of their own.
+ */
 function schemaAt(
   schema: z.ZodType,
   path: JsoncPath,
--- a/packages/core/src/utils/sum.ts
+++ b/packages/core/src/utils/sum.ts
@@ -1,5 +1,5 @@
 /**
- * Sum of numbers; 0 of none.
+ * Returns the sum of numbers, 0 if there are none.
  *
  * @example
  * sum([1, 2]); // 3
--- a/test/declaration/brokenDeclarations.test.ts
+++ b/test/declaration/brokenDeclarations.test.ts
@@ -8,24 +8,24 @@
   return checkDeclarations([{ file: `${name}.jsonc`, text }]);
 }
 
-// What an operator sees who made one mistake: the place, and what to change.
+// Each fixture contains one mistake. The fault reports its position and how to correct it.
 const brokenFiles = [
   ['syntax', '5:3', /not valid JSON: comma expected\. Put a comma after the value before/],
-  ['repeated-key', '6:3', /"policy" stands here a second time\. Remove this one or .* line 4/],
+  ['repeated-key', '6:3', /"policy" is repeated here\. Remove this one or .* line 4/],
   ['misspelt-key', '8:5', /"budgetshare" is not known here\. Did you mean "budgetShare"\?/],
   ['weight', '7:3', /"weights" is not known here\. Remove it\. The system derives weights/],
-  ['share-percent', '9:20', /40 is too large, the most is 1\. Write a number from 0 to 1/],
+  ['share-percent', '9:20', /40 is too large, the maximum is 1\. Write a number from 0 to 1/],
   ['target-order', '7:54', /cannot come before its first token .* Raise completeMs to at least/],
   ['unknown-service', '6:16', /no service "deel-lm"\. Did you mean "deel-llm"\?/],
-  ['plain-key', '4:21', /0: the value does not have the right form\. Write the SHA-256/],
-  ['shared-key', '2:70', /belongs to the account "delger-shop" too\. Make a key of its own/],
+  ['plain-key', '4:21', /0: the value does not have the required format\. Write the SHA-256/],
+  ['shared-key', '2:70', /belongs to the account "delger-shop" too\. Create a separate key/],
   ['duplicate', '2:32', /Service\.shop-ledger is declared twice.* Remove one of the two/],
   ['kind', '2:13', /"Workclass" is not a known kind/],
   ['missing-target', '7:15', /target\.completeMs: this key is missing\. Write whole milliseconds/],
 ] as const;
 
 for (const [name, place, text] of brokenFiles) {
-  test(`broken-${name} is refused with its place and a remedy`, () => {
+  test(`broken-${name} is rejected with its position and a hint`, () => {
     const { faults } = checkFixture(`broken-${name}`);
     const [first] = faults.map(formatFault);
     assert.ok(first?.startsWith(`broken-${name}.jsonc:${place}:`), first);
@@ -33,9 +33,9 @@
   });
 }
 
-// A volunteer writes "fast" for a number in one class. The two other objects of the file are sound:
-// they are accepted, and the faulty class is named so that what is in force of it is kept.
-test('one bad object leaves the others of its file acceptable', () => {
+// One class contains the text "fast" where a number is expected. The two valid objects of the file
+// are accepted, and the faulty class is reported, so that its version in force can stay.
+test('one faulty object does not reject the others of its file', () => {
   const { accepted, faults, faulty, unnamedFaults } = checkFixture('one-bad-of-three');
   assert.deepEqual(
     accepted.map(({ name }) => name),
@@ -46,7 +46,7 @@
   assert.equal(unnamedFaults, false);
 });
 
-test('an object that refers to a faulty one is refused with it', () => {
+test('an object that refers to a faulty one is rejected too', () => {
   const text = `[
     { "kind": "WorkClass", "name": "drafts", "service": "gone", "target": { "firstTokenMs": 9, "completeMs": 9 } },
     { "kind": "ClientAccount", "name": "a", "apiKeyDigests": ["${'0'.repeat(64)}"], "defaultClass": "drafts" },
@@ -59,7 +59,7 @@
   );
 });
 
-test('defaults depend on the service: calls of a plain service may not be repeated', () => {
+test('classes of a plain service are not idempotent by default', () => {
   const text = `[
     { "kind": "Service", "name": "ledger", "type": "plain", "discovery": { "instanceList": "ledger" } },
     { "kind": "WorkClass", "name": "reservations", "service": "ledger", "target": { "firstTokenMs": 300, "completeMs": 900 } },
--- a/test/declaration/planChanges.test.ts
+++ b/test/declaration/planChanges.test.ts
@@ -38,7 +38,7 @@
   }));
 }
 
-test('a plan says what is created, updated, unchanged and kept', () => {
+test('a plan lists created, updated, unchanged and kept objects', () => {
   const current = inForce(service, workClass('a'), workClass('b'), workClass('c'));
   const wanted = [workClass('d'), workClass('a', { budgetShare: 0.5 }), workClass('b')];
   const plan = planChanges(current, wanted, now);
@@ -54,9 +54,9 @@
   );
 });
 
-// An operator's file has a typing error in class "b" and is applied with --prune. If the faulty
-// object counted as absent, its class would be removed and all its requests refused.
-test('pruning never removes an object that is only faulty in the files', () => {
+// Guards against removing class "b" because of a typing error in its declaration: if --prune
+// treated the faulty object as absent, all requests of the class would be refused.
+test('pruning does not remove an object that is faulty in the files', () => {
   const current = inForce(service, workClass('a'), workClass('b'));
   const faulty = [{ kind: 'WorkClass' as const, name: 'b' }];
   const plan = planChanges(current, [service, workClass('a')], now, { prune: true, faulty });
@@ -115,7 +115,7 @@
   });
 }
 
-test('a sound change meets no guard rail', () => {
+test('a valid change triggers no guard rail', () => {
   const wanted = [workClass('a', { budgetShare: 0.6 }), workClass('b', { budgetShare: 0.4 })];
   const plan = planChanges(inForce(service), wanted, now);
   assert.deepEqual(
@@ -130,14 +130,14 @@
   assert.deepEqual(plan.changes[0]?.guards, []);
 });
 
-test('a change whose reference is missing at that moment is found', () => {
+test('findBrokenReference reports a reference to an object that is not in force', () => {
   const [change] = planChanges([], [workClass('a')], now).changes;
   assert.ok(change);
   assert.equal(findBrokenReference(change, []), 'Service.deel-llm is not in force');
   assert.equal(findBrokenReference(change, [service]), undefined);
 });
 
-test('a stored object reads back as it was written, a removal without declaration', () => {
+test('a stored object is read back unchanged, and a removed one without declaration', () => {
   const change = {
     changeId: 'c',
     who: 'o',
