--- a/packages/core/src/runtime/configStore/configStore.ts
+++ b/packages/core/src/runtime/configStore/configStore.ts
@@ -88,12 +88,12 @@
 /** Keys of the objects whose newest version is invalid and that have no known valid version. */
 export function missingLastGood({ objects, lastGood }: ConfigStore): string[] {
   return [...objects]
-    .filter(([key, object]) => !namesKnownService(object, objects) && !lastGood.has(key))
+    .filter(([key, object]) => !refersToKnownService(object, objects) && !lastGood.has(key))
     .map(([key]) => key);
 }
 
 /** Whether the service that a class refers to is declared; true for other kinds. */
-export function namesKnownService(object: DeclaredObject, objects: Objects): boolean {
+export function refersToKnownService(object: DeclaredObject, objects: Objects): boolean {
   if (object.declaration?.kind !== 'WorkClass') return true;
   return objects.get(`Service.${object.declaration.service}`)?.declaration !== undefined;
 }
@@ -137,7 +137,7 @@
   const lastGood = new Map<string, DeclaredObject>();
   for (const [key, object] of objects) {
     if (!object.declaration) continue;
-    const good = namesKnownService(object, objects) ? object : candidates.get(key);
+    const good = refersToKnownService(object, objects) ? object : candidates.get(key);
     if (good) lastGood.set(key, good);
   }
   return lastGood;
--- a/packages/core/src/runtime/configStore/effectiveConfig.ts
+++ b/packages/core/src/runtime/configStore/effectiveConfig.ts
@@ -8,7 +8,7 @@
 } from '../../types/declaration.js';
 import type { ConfigStore } from './configStore.js';
 import { shareTolerance } from '../declaration/guards.js';
-import { namesKnownService, objectKey } from './configStore.js';
+import { refersToKnownService, objectKey } from './configStore.js';
 
 /** A mistake in the declared objects that was corrected or not put in force. */
 export interface ConfigFinding {
@@ -68,7 +68,7 @@
 /** Reports the classes whose newest version refers to an unknown service and is not in force. */
 function findClassesWithUnknownService({ objects }: ConfigStore): ConfigFinding[] {
   return [...objects.values()]
-    .filter((object) => !namesKnownService(object, objects))
+    .filter((object) => !refersToKnownService(object, objects))
     .map((object) => ({
       type: 'unknown-service-in-class',
       object: objectKey(object),
--- a/packages/core/src/runtime/membership/membership.ts
+++ b/packages/core/src/runtime/membership/membership.ts
@@ -7,7 +7,7 @@
 import type { EpochMs, IncarnationId } from '../../types/ids.js';
 import type { InstanceRecord, MemberInfo, PeerHealth } from '../../types/member.js';
 import type {
-  Contact,
+  ContactPoint,
   KnownMember,
   MembershipSettings,
   MembershipState,
@@ -36,7 +36,7 @@
 /** Number of beats between heartbeats to each other data centre. */
 const REMOTE_INTERVAL_BEATS = 4;
 /** Number of addresses without a known member that are tried at each beat. */
-const CONTACTS_PER_BEAT = 2;
+const CONTACT_POINTS_PER_BEAT = 2;
 /** Maximum number of digest entries in a heartbeat. */
 const MAX_DIGEST = 6;
 /**
@@ -52,18 +52,18 @@
 const INTRODUCTION_INTERVAL_BEATS = 4;
 /** How long a member counts as new. New members are described first, and at every beat. */
 const NEW_MEMBER_MS = 10_000;
-/** How long the entry of a silent member is stored, so that its address is tried again. */
+/** How long the entry of a silent member is kept, so that its address is still tried. */
 const GONE_MEMBER_TTL_MS = 10 * 60_000;
 /**
  * Maximum number of members stored for each other data centre. This many are enough to stay in
  * touch with a data centre of any size.
  */
 const MAX_PER_REMOTE_CENTRE = 16;
-/** Maximum number of members of the own data centre, and of contacts. */
+/** Maximum number of members of the own data centre, and of contact points. */
 const MAX_ENTRIES = 1_024;
 
 /**
- * Creates the state of a router that knows only itself and its configured contacts.
+ * Creates the state of a router that knows only itself and its configured contact points.
  *
  * @example
  * let state = createMembership(self, { suspectMs: 2_000, goneMs: 4_000 }, seeds);
@@ -74,7 +74,7 @@
   seeds: readonly string[] = [],
 ): MembershipState {
   const contacts = seeds.map((meshUrl) => ({ meshUrl }));
-  return { self, settings, members: {}, contacts };
+  return { self, settings, members: {}, contactPoints: contacts };
 }
 
 /** Changes what this router reports about itself. A new incarnation starts at the next beat. */
@@ -143,10 +143,10 @@
 ): MembershipState {
   const listed = records
     .filter((record) => record.state === 'live')
-    .map((record): Contact => ({ meshUrl: record.url, dataCentre: record.dataCentre }));
+    .map((record): ContactPoint => ({ meshUrl: record.url, dataCentre: record.dataCentre }));
   const listedUrls = new Set(listed.map((contact) => contact.meshUrl));
   const others = seeds.filter((url) => !listedUrls.has(url)).map((meshUrl) => ({ meshUrl }));
-  return { ...state, contacts: [...listed, ...others].slice(0, MAX_ENTRIES) };
+  return { ...state, contactPoints: [...listed, ...others].slice(0, MAX_ENTRIES) };
 }
 
 /**
@@ -190,7 +190,7 @@
 
 /**
  * Mesh URLs that receive the heartbeat of this beat. Their number is bounded; other data centres
- * and contacts take turns over the beats.
+ * and contact points take turns over the beats.
  */
 export function heartbeatTargets(state: MembershipState, now: EpochMs): string[] {
   const living = membersWith(state, ['alive', 'suspect'], now);
@@ -199,7 +199,7 @@
     living.filter((member) => isLocal(state, member)),
   );
   const urls = [...local, ...remoteTargets(state, living)].map((member) => member.info.meshUrl);
-  return [...new Set([...urls, ...contactTargets(state, living)])];
+  return [...new Set([...urls, ...contactPointTargets(state, living)])];
 }
 
 /**
@@ -320,12 +320,15 @@
  * Addresses without a known live member: those of new routers, and of routers that were behind a
  * partition that has healed.
  */
-function contactTargets(state: MembershipState, living: KnownMember[]): string[] {
+function contactPointTargets(state: MembershipState, living: KnownMember[]): string[] {
   const answering = new Set([state.self.meshUrl, ...living.map((member) => member.info.meshUrl)]);
   const former = Object.values(state.members).map((member) => member.info.meshUrl);
-  const urls = [...state.contacts.map((contact) => contact.meshUrl), ...former];
+  const urls = [...state.contactPoints.map((contact) => contact.meshUrl), ...former];
   const silent = [...new Set(urls)].filter((url) => !answering.has(url));
-  return rotate(silent, state.self.beat * CONTACTS_PER_BEAT).slice(0, CONTACTS_PER_BEAT);
+  return rotate(silent, state.self.beat * CONTACT_POINTS_PER_BEAT).slice(
+    0,
+    CONTACT_POINTS_PER_BEAT,
+  );
 }
 
 function rotate<T>(items: readonly T[], by: number): T[] {
--- a/packages/core/src/types/membership.ts
+++ b/packages/core/src/types/membership.ts
@@ -28,12 +28,12 @@
   settings: MembershipSettings;
   members: Record<IncarnationId, KnownMember>;
   /** Addresses from the instance list and the settings; tried while no known member has them. */
-  contacts: Contact[];
+  contactPoints: ContactPoint[];
   lastTickAt?: EpochMs;
 }
 
-/** An address at which a router may run. */
-export interface Contact {
+/** Address at which a router may run, used to find members that are not known yet. */
+export interface ContactPoint {
   meshUrl: string;
   dataCentre?: DataCentreId;
 }
