--- a/packages/core/src/runtime/membership/membership.ts
+++ b/packages/core/src/runtime/membership/membership.ts
@@ -73,8 +73,8 @@
   settings: MembershipSettings,
   seeds: readonly string[] = [],
 ): MembershipState {
-  const contacts = seeds.map((meshUrl) => ({ meshUrl }));
-  return { self, settings, members: {}, contactPoints: contacts };
+  const contactPoints = seeds.map((meshUrl) => ({ meshUrl }));
+  return { self, settings, members: {}, contactPoints };
 }
 
 /** Changes what this router reports about itself. A new incarnation starts at the next beat. */
