--- a/packages/cli/src/node/cliSettings.ts
+++ b/packages/cli/src/node/cliSettings.ts
@@ -1,4 +1,4 @@
-/** Settings of the command: flags first, then the environment, then the settings file. */
+/** Settings of the operators' command: flags override the environment, which overrides the file. */
 
 import { checkWithPositions, formatFault, parseJsonc } from '@flamingocourse/core';
 import { CliError } from '../utils/cliError.js';
@@ -22,7 +22,7 @@
     .describe('the number of ledger pages, the same as in the routers settings'),
 });
 
-/** Settings as given in one place. */
+/** Settings from one source: the flags or the settings file. */
 export interface GivenSettings {
   platform?: string | undefined;
   who?: string | undefined;
@@ -36,7 +36,10 @@
   ledgerPages: number;
 }
 
-/** Merges the settings of all places. Errors: `usage` when the platform is not given. */
+/**
+ * Merges the settings of all sources. Errors: `usage` when no source names the platform, or when
+ * the settings file is not readable or not valid.
+ */
 export async function resolveCliSettings(
   flags: GivenSettings & { settings?: string | undefined },
   env: Record<string, string | undefined>,
@@ -49,7 +52,7 @@
     const ledgerPages = flags.ledgerPages ?? written.ledgerPages ?? 1;
     if (platform !== undefined) return Result.ok({ platform, who, ledgerPages });
     const message =
-      'The platform is not given. Use --platform URL, FLAMINGOCOURSE_PLATFORM or --settings FILE.';
+      'The platform URL is missing. Use --platform URL, FLAMINGOCOURSE_PLATFORM or --settings FILE.';
     return Result.err(new CliError('usage', message));
   });
 }
--- a/packages/cli/src/node/commands/budgetCommands.ts
+++ b/packages/cli/src/node/commands/budgetCommands.ts
@@ -53,7 +53,7 @@
 
 const reduceCommand = command({
   name: 'reduce',
-  description: 'lower a budget, down to what is already committed; the rest waits',
+  description: 'lower a budget, down to what is already committed; the rest stays pending',
   args: changeArgs,
   handler: async (args) => {
     await runOnPlatform(args, (operator) => changeTokens(operator, args, -1));
@@ -62,12 +62,16 @@
 
 const writeOffCommand = command({
   name: 'write-off',
-  description: 'state that a router and a witness of it are destroyed; what it held is billed',
+  description:
+    'declare a router and one of its witnesses destroyed; the tokens that it held are billed',
   args: {
     ...platformArgs,
     dataCentre: option({ type: string, long: 'data-centre' }),
     holder: option({ type: string, long: 'holder', description: 'incarnation of the router' }),
-    destroyed: flag({ long: 'instances-are-destroyed', description: 'needed: your statement' }),
+    destroyed: flag({
+      long: 'instances-are-destroyed',
+      description: 'required: your confirmation',
+    }),
   },
   handler: async (args) => {
     await runOnPlatform(args, async (operator) => {
@@ -98,7 +102,7 @@
 /** `drain`: takes a backend server out of service. */
 export const drainCommand = command({
   name: 'drain',
-  description: 'give a backend server no new work; what it runs is finished',
+  description: 'send no new requests to a backend server; running requests finish',
   args: {
     ...platformArgs,
     service: positional({ type: string, displayName: 'service' }),
@@ -125,7 +129,7 @@
   sign: 1 | -1,
 ): Promise<Result<Report, CliError>> {
   if (!Number.isSafeInteger(args.tokens) || args.tokens <= 0) {
-    const message = `--tokens ${args.tokens} is no whole number above 0.`;
+    const message = `--tokens ${args.tokens} is not a whole number above 0.`;
     return Result.err(new CliError('usage', message));
   }
   const id = args.changeId ?? operator.newId();
@@ -140,10 +144,10 @@
     .mapErr((err) => withRetryAdvice(err, id));
 }
 
-// without the id a second try would count as a second top-up
+// Without the id, a retry would count as a second top-up.
 function withRetryAdvice(err: CliError, id: string): CliError {
   if (err.code === 'faults') return err;
-  const advice = `To try again without counting twice, add --change-id ${id}.`;
+  const advice = `To retry without counting the change twice, add --change-id ${id}.`;
   return new CliError(err.code, `${err.message} ${advice}`, { cause: err });
 }
 
--- a/packages/cli/src/node/commands/declarationCommands.ts
+++ b/packages/cli/src/node/commands/declarationCommands.ts
@@ -33,10 +33,10 @@
 const acknowledge = multioption({
   type: array(oneOf<GuardName>(guardNames)),
   long: 'acknowledge',
-  description: 'a guard rail that may be passed; repeat for several',
+  description: 'a guard rail to override; repeat for several',
 });
 
-const prune = flag({ long: 'prune', description: 'remove objects that the files lack' });
+const prune = flag({ long: 'prune', description: 'remove objects that are not in the files' });
 
 /** `validate`: checks files without the platform. */
 export const validateCommand = command({
@@ -81,7 +81,7 @@
   },
 });
 
-/** `apply`: puts declarations in force. */
+/** `apply`: puts declarations into force. */
 export const applyCommand = command({
   name: 'apply',
   description: 'put declarations in force',
@@ -164,7 +164,7 @@
       `${object}: ${guard}: ${message}. Needs --acknowledge ${guard}.`,
   );
   return {
-    // a fault has to be mended in any case, so it comes before a guard rail here
+    // A fault must be fixed in any case, so it takes precedence over a guard rail here.
     reason: reasons.includes('faults') ? 'faults' : worstReason(reasons),
     json: { sound: plan.changes.length, faults, guards },
     text: `${plan.changes.length} sound objects, ${faults.length} faults, ${open.length} guard rails`,
--- a/packages/cli/src/node/commands/describePlan.ts
+++ b/packages/cli/src/node/commands/describePlan.ts
@@ -1,4 +1,4 @@
-/** Shows plans and what became of them. */
+/** Renders plans and the outcome of applying them. */
 
 import type { AppliedChange } from '../../runtime/applyPlan.js';
 import type { ExitReason } from '../../utils/cliError.js';
@@ -8,10 +8,10 @@
 import { renderTable } from '../../utils/renderTable.js';
 import { worstReason } from '../../utils/cliError.js';
 
-/** Longest text of a value in a table. */
+/** Maximum number of characters of a value in a table. */
 const maxValueLength = 40;
 
-/** Exit reason of a plan: faults before guard rails, since faults have to be mended anyway. */
+/** Exit reason of a plan. Faults precede guard rails because they must be fixed in any case. */
 export function planReason(plan: SavedPlan, acknowledged: readonly GuardName[]): ExitReason {
   if (plan.faults.length > 0 || plan.blocked.length > 0) return 'faults';
   const isOpen = plan.changes.some(
@@ -31,11 +31,11 @@
   ]);
   const counts = `${plan.changes.length} changes, ${plan.unchanged.length} unchanged, ${plan.kept.length} not in the files and kept`;
   if (rows.length === 0) return counts;
-  const head = ['change', 'object', 'upon revision', 'what', 'guard rails'];
+  const head = ['change', 'object', 'from revision', 'difference', 'guard rails'];
   return `${renderTable(head, rows)}\n${counts}`;
 }
 
-/** Renders what apply did. */
+/** Renders the outcome of `apply`. */
 export function describeApplied(
   applied: readonly AppliedChange[],
   opened: readonly string[],
--- a/packages/cli/src/node/commands/readCommands.ts
+++ b/packages/cli/src/node/commands/readCommands.ts
@@ -12,7 +12,7 @@
 import { readHistory } from '../../runtime/audit.js';
 import { readStatus } from '../../runtime/status.js';
 
-/** `get`: shows the declared objects in force. */
+/** `get`: shows the declared objects that are in force. */
 export const getCommand = command({
   name: 'get',
   description: 'show declared objects in force',
@@ -96,10 +96,10 @@
   },
 });
 
-/** `status`: asks all routers. */
+/** `status`: queries all routers. */
 export const statusCommand = command({
   name: 'status',
-  description: 'ask every router of the instance list how it is',
+  description: 'show the state of every router of the instance list',
   args: platformArgs,
   handler: async (args) => {
     await runOnPlatform(args, async (operator) => {
@@ -114,8 +114,8 @@
         one.revision,
       ]);
       const text = renderTable(['data centre', 'router', 'listed', 'state', 'revision'], rows);
-      const silent = routers.some((one) => one.listed === 'live' && one.ready !== 'ready');
-      return Result.ok({ reason: silent ? 'faults' : 'ok', json: routers, text });
+      const hasUnready = routers.some((one) => one.listed === 'live' && one.ready !== 'ready');
+      return Result.ok({ reason: hasUnready ? 'faults' : 'ok', json: routers, text });
     });
   },
 });
--- a/packages/cli/src/node/commonArgs.ts
+++ b/packages/cli/src/node/commonArgs.ts
@@ -1,4 +1,4 @@
-/** Flags that all commands share, and the platform client that they lead to. */
+/** Flags that the commands share, and the platform client created from them. */
 
 import { number, oneOf, option, optional, string } from 'cmd-ts';
 import type { CliError } from '../utils/cliError.js';
@@ -12,7 +12,7 @@
 import { randomUUID } from 'node:crypto';
 import { resolveCliSettings } from './cliSettings.js';
 
-/** Longest wait for one reply of the platform, in milliseconds. */
+/** Timeout of one request to the platform, in milliseconds. */
 const platformTimeoutMs = 5_000;
 
 const formats: OutputFormat[] = ['table', 'json'];
@@ -25,7 +25,7 @@
   description: 'table or json',
 });
 
-/** Flags of commands that work with the platform. */
+/** Flags of commands that connect to the platform. */
 export const platformArgs = {
   platform: option({
     type: optional(string),
--- a/packages/cli/src/node/fetchJson.ts
+++ b/packages/cli/src/node/fetchJson.ts
@@ -1,4 +1,4 @@
-/** Reads small JSON answers of routers. */
+/** Reads small JSON responses of routers. */
 
 import type { FetchJson } from '../runtime/status.js';
 import { get } from 'node:http';
@@ -6,7 +6,10 @@
 const timeoutMs = 2_000;
 const maxBodyBytes = 262_144;
 
-/** Reads a URL; no answer, an answer that is too long or too late counts as none. */
+/**
+ * Sends a GET request. Resolves to `undefined` when the request fails, times out, or the response
+ * is larger than 256 KiB. A body that is not JSON is returned as text.
+ */
 export const fetchJson: FetchJson = (url) =>
   new Promise((resolve) => {
     const req = get(url, { timeout: timeoutMs, agent: false }, (res) => {
--- a/packages/cli/src/node/files.ts
+++ b/packages/cli/src/node/files.ts
@@ -1,4 +1,4 @@
-/** Reads and writes the files that are named on the command line. */
+/** Reads and writes the files named on the command line. */
 
 import { readFile, readdir, stat, writeFile } from 'node:fs/promises';
 import { CliError } from '../utils/cliError.js';
@@ -28,7 +28,7 @@
   }
 }
 
-/** Reads files and, in directories, all their `.jsonc` and `.json` files. */
+/** Reads the files, and all `.jsonc` and `.json` files directly in the directories. */
 export async function readSources(
   paths: readonly string[],
 ): Promise<Result<SourceFile[], CliError>> {
--- a/packages/cli/src/node/main.ts
+++ b/packages/cli/src/node/main.ts
@@ -1,4 +1,4 @@
-/** Entry of the `flamingocourse` binary. */
+/** Entry point of the `flamingocourse` binary. */
 
 import { applyCommand, planCommand, validateCommand } from './commands/declarationCommands.js';
 import {
@@ -14,7 +14,7 @@
 
 const application = subcommands({
   name: 'flamingocourse',
-  description: 'declare, apply and look into a router fleet for prepaid token budgets',
+  description: 'declare, apply and inspect a router fleet for prepaid token budgets',
   cmds: {
     validate: validateCommand,
     plan: planCommand,
@@ -28,7 +28,7 @@
   },
 });
 
-/** Runs the command line; the exit code is set by the command or by a fault of usage. */
+/** Runs the command line. The command sets the exit code; a usage error exits with 2. */
 async function main(args: string[]): Promise<void> {
   const result = await runSafely(application, args);
   if (result._tag === 'ok') return;
--- a/packages/cli/src/node/platformStore.ts
+++ b/packages/cli/src/node/platformStore.ts
@@ -1,11 +1,11 @@
-/** The operators' view of the platform over its client. */
+/** Implements the operators' store with the platform client. */
 
 import type { OperatorCollection, OperatorStore, StoreError } from '../types/operatorStore.js';
 import type { Collection, ObjectStore, PlatformError } from '@flamingocourse/store';
 import { z } from 'zod';
 
 /**
- * Adapts the platform's client.
+ * Adapts the platform client to {@link OperatorStore}.
  *
  * @example
  * const store = createOperatorStore(new HttpObjectStore({ url }));
--- a/packages/cli/src/node/report.ts
+++ b/packages/cli/src/node/report.ts
@@ -1,4 +1,4 @@
-/** What a command prints, and the exit code that it ends with. */
+/** Output and exit code of a command. */
 
 import type { CliError, ExitReason } from '../utils/cliError.js';
 import type { Result } from 'true-myth';
--- a/packages/cli/src/runtime/applyPlan.ts
+++ b/packages/cli/src/runtime/applyPlan.ts
@@ -1,4 +1,4 @@
-/** Carries out a plan, object by object; what one object meets never stops the others. */
+/** Applies a plan object by object; a failure of one object never stops the others. */
 
 import type {
   ChangeRecord,
@@ -9,7 +9,7 @@
 } from '@flamingocourse/core';
 import type { ExitReason } from '../utils/cliError.js';
 import type { Operator } from '../types/operator.js';
-import { acceptedAudit, createAudit, keepAuditOf } from './audit.js';
+import { acceptedAudit, createAudit, ensureAudit } from './audit.js';
 import { findBrokenReference, objectName, unacknowledgedGuards } from '@flamingocourse/core';
 import { declarationsOf } from './loadObjects.js';
 import { formatTime } from '../utils/renderTable.js';
@@ -23,18 +23,18 @@
 export type ApplyVerdict =
   'applied' | 'guard-rail' | 'conflict' | 'broken-reference' | 'unreachable';
 
-/** What became of one change. */
+/** Outcome of one change. */
 export interface AppliedChange {
   object: string;
   type: PlannedChange['type'];
   verdict: ApplyVerdict;
   /** Revision in force after the change. */
   revision?: number;
-  /** What stood in the way and what to do. */
+  /** Why the change was not applied, and what to do. */
   message?: string;
 }
 
-/** Exit reason that each verdict leads to. */
+/** Exit reason of each verdict. */
 export const verdictReasons: Record<ApplyVerdict, ExitReason> = {
   applied: 'ok',
   'guard-rail': 'guard-rail',
@@ -44,7 +44,7 @@
 };
 
 /**
- * Makes the changes in their order.
+ * Applies the changes in their order.
  *
  * @example
  * const applied = await applyPlan(operator, changes, current, ['mass-removal']);
@@ -96,12 +96,16 @@
     const reason = unmet.map(({ guard, message }) => `${guard}: ${message}`).join('; ');
     await auditRefusal(operator, change, record, 'refused-guard', reason);
     const flags = unmet.map(({ guard }) => `--acknowledge ${guard}`).join(' ');
-    return { ...base, verdict: 'guard-rail', message: `${reason}. If it is meant, add ${flags}.` };
+    return {
+      ...base,
+      verdict: 'guard-rail',
+      message: `${reason}. If this is intended, add ${flags}.`,
+    };
   }
   if (object) {
-    const kept = await keepAuditOf(operator.store, object);
-    if (kept.isErr) {
-      const message = `nothing was changed, since the audit trail cannot be written: ${kept.error.message}`;
+    const audited = await ensureAudit(operator.store, object);
+    if (audited.isErr) {
+      const message = `nothing was changed, because the audit trail cannot be written: ${audited.error.message}`;
       return { ...base, verdict: 'unreachable', message };
     }
   }
@@ -119,12 +123,13 @@
     case 'written': {
       const { revision } = written;
       const entry = acceptedAudit(base.object, record, revision);
-      const kept = await createAudit(operator.store, change.changeId, entry);
-      const message = 'the audit follows with the next change or `flamingocourse history`';
-      return { ...base, verdict: 'applied', revision, ...(kept.isErr && { message }) };
+      const audited = await createAudit(operator.store, change.changeId, entry);
+      const message =
+        'the audit is not written yet; the next change or `flamingocourse history` writes it';
+      return { ...base, verdict: 'applied', revision, ...(audited.isErr && { message }) };
     }
-    case 'overtaken': {
-      const message = describeOvertaking(change, written.by);
+    case 'conflict': {
+      const message = describeConflict(change, written.by);
       await auditRefusal(operator, change, record, 'refused-conflict', message);
       return { ...base, verdict: 'conflict', message };
     }
@@ -146,19 +151,19 @@
   };
 }
 
-function describeOvertaking(
+function describeConflict(
   change: IdentifiedChange,
   by: DeclaredObjectWithChange | undefined,
 ): string {
-  const planned = `it was planned upon revision ${change.fromRevision}`;
-  if (!by) return `${planned} and the object is gone. Plan again.`;
+  const planned = `the change was planned against revision ${change.fromRevision}`;
+  if (!by) return `${planned} and the object no longer exists. Plan again.`;
   const { change: other, revision } = by;
   if (!other) return `${planned} and revision ${revision} is in force. Plan again.`;
   const did = `${other.who} made a change (${other.what}) at ${formatTime(other.at)}`;
-  return `${planned}; since then ${did}, now revision ${revision}. Look at it with \`flamingocourse get ${objectName(change)}\` and plan again.`;
+  return `${planned}; since then ${did}, now revision ${revision}. Inspect it with \`flamingocourse get ${objectName(change)}\` and plan again.`;
 }
 
-// a refusal changes nothing, so a refusal that cannot be audited is still only a refusal
+// A refusal changes nothing, so a failure to audit it is ignored.
 async function auditRefusal(
   operator: Operator,
   change: IdentifiedChange,
--- a/packages/cli/src/runtime/audit.ts
+++ b/packages/cli/src/runtime/audit.ts
@@ -1,4 +1,4 @@
-/** The audit trail: one object per change that is created once and never changed. */
+/** The audit trail: one immutable object per change. */
 
 import type {
   AuditRecord,
@@ -15,7 +15,7 @@
 import { loadObjects } from './loadObjects.js';
 import { loadLedger } from './ledgerPages.js';
 
-/** A change of something that is no declaration. */
+/** Record of a change to something other than a declaration. */
 export interface OperationRecord {
   changeId: string;
   who: string;
@@ -28,18 +28,18 @@
 /** Any entry of the audit trail. */
 export type AuditEntry = AuditRecord | OperationRecord;
 
-/** Creates an audit object; one that exists already is the same and counts as success. */
+/** Creates an audit object. One that already exists has the same content, so it is a success. */
 export async function createAudit(
   store: OperatorStore,
   name: string,
   entry: AuditEntry,
-): Promise<Result<'kept', StoreError>> {
+): Promise<Result<'stored', StoreError>> {
   const created = await store.create(auditCollection, name, entry);
-  if (created.isOk || created.error.code === 'exists') return Result.ok('kept');
+  if (created.isOk || created.error.code === 'exists') return Result.ok('stored');
   return Result.err(created.error);
 }
 
-/** Describes a change that took effect. */
+/** Creates the audit record of a change that took effect. */
 export function acceptedAudit(
   object: string,
   change: ChangeRecord,
@@ -49,21 +49,21 @@
 }
 
 /**
- * Creates the audit of the change that an object carries. Guards against a command that died
- * between its change and the audit: the change would be missing from the trail for good once the
- * next change replaces the record in the object. So this runs before each change.
+ * Creates the audit of the change that is recorded in an object, if it is missing. A command can
+ * fail between its change and the audit. The next change replaces the record in the object, and the
+ * first one would be missing from the trail for good. So this runs before each change.
  */
-export async function keepAuditOf(
+export async function ensureAudit(
   store: OperatorStore,
   object: DeclaredObjectWithChange,
-): Promise<Result<'kept', StoreError>> {
+): Promise<Result<'stored', StoreError>> {
   const { change } = object;
-  if (!change) return Result.ok('kept');
+  if (!change) return Result.ok('stored');
   const entry = acceptedAudit(objectName(object), change, object.revision);
   return createAudit(store, change.changeId, entry);
 }
 
-/** The trail, oldest first. Audits that a dead command left out are created on the way. */
+/** Returns the trail, oldest first. Creates the audits that failed commands did not write. */
 export async function readHistory(operator: Operator): Promise<Result<AuditEntry[], CliError>> {
   const { store } = operator;
   const listed = await store.list(auditCollection);
@@ -72,8 +72,8 @@
   const missing = await findMissing(operator, entries);
   if (missing.isErr) return Result.err(missing.error);
   for (const [name, entry] of missing.value) {
-    const kept = await createAudit(store, name, entry);
-    if (kept.isErr) return Result.err(fromStoreError(kept.error, 'an audit cannot be written'));
+    const stored = await createAudit(store, name, entry);
+    if (stored.isErr) return Result.err(fromStoreError(stored.error, 'an audit cannot be written'));
     entries.set(name, entry);
   }
   return Result.ok([...entries.values()].sort((a, b) => a.at - b.at));
@@ -92,8 +92,8 @@
   if (loaded.isErr) return Result.err(loaded.error);
   const ledger = await loadLedger(operator);
   if (ledger.isErr) return Result.err(ledger.error);
-  const made = [...declaredAudits(loaded.value.objects), ...budgetAudits(ledger.value)];
-  return Result.ok(new Map(made.filter(([name]) => !entries.has(name))));
+  const expected = [...declaredAudits(loaded.value.objects), ...budgetAudits(ledger.value)];
+  return Result.ok(new Map(expected.filter(([name]) => !entries.has(name))));
 }
 
 function declaredAudits(objects: readonly DeclaredObjectWithChange[]): [string, AuditEntry][] {
--- a/packages/cli/src/runtime/bills.ts
+++ b/packages/cli/src/runtime/bills.ts
@@ -13,9 +13,9 @@
   lines: Bill[];
   /** Sum of the lines. */
   total: Tokens;
-  /** What the journals say was billed; equal to `total` unless something is wrong. */
+  /** Total billed according to the journals; differs from `total` only after a fault. */
   billed: Tokens;
-  /** Requests with more than one line; always empty unless something is wrong. */
+  /** Requests with more than one line; empty unless there is a fault. */
   repeated: string[];
 }
 
@@ -29,7 +29,8 @@
   operator: Operator,
   account: AccountId,
 ): Promise<Result<Invoice, CliError>> {
-  // journals first: a segment that is closed meanwhile is still counted from the journal read here
+  // Journals are read first: bills of a segment that is closed in the meantime are still in the
+  // journal read here.
   const journals = await loadJournals(operator);
   if (journals.isErr) return Result.err(journals.error);
   const lines: Bill[] = [];
@@ -45,7 +46,7 @@
   return Result.ok(createInvoice(account, lines, billed));
 }
 
-/** Says what is wrong with an invoice, if anything. */
+/** Returns a message about a fault of an invoice, or `undefined`. */
 export function findInvoiceFault(invoice: Invoice): string | undefined {
   if (invoice.repeated.length > 0) {
     return `These requests have more than one line: ${invoice.repeated.join(', ')}. Report it.`;
@@ -62,7 +63,7 @@
   for (let number = 0; number < journal.segment; number += 1) {
     const read = await operator.store.get('segments', `${journal.dataCentre}-${number}`);
     if (read.isOk) bills.push(...(read.value.value as BillSegment).bills);
-    // numbering may begin at 1; any other gap shows as a total that does not add up
+    // Numbering may begin at 1. Any other gap makes `total` differ from `billed`.
     else if (read.error.code !== 'not-found') {
       return Result.err(fromStoreError(read.error, 'a segment of bills cannot be read'));
     }
--- a/packages/cli/src/runtime/budget.ts
+++ b/packages/cli/src/runtime/budget.ts
@@ -21,22 +21,22 @@
 import { CliError, fromStoreError } from '../utils/cliError.js';
 import { Result } from 'true-myth';
 
-/** Tries of a write-off against a journal that routers write too. */
-const maxWriteOffTries = 10;
+/** Attempts of a write-off; routers update the same journal, so conflicts are frequent. */
+const maxWriteOffAttempts = 10;
 
 /** Budget of one account as operators see it, in tokens. */
 export interface BudgetLine {
   account: AccountId;
   limit: Tokens;
-  /** Billed so far, as far as the data centres have reported it. */
+  /** Billed tokens that the data centres have reported so far. */
   spent: Tokens;
-  /** Held by data centres and not billed yet. */
+  /** Held by data centres and not yet billed. */
   held: Tokens;
-  /** Limit less what is billed. */
+  /** Limit minus billed tokens. */
   left: Tokens;
-  /** Part of `held` that belongs to routers whose end is not settled; nobody can spend it. */
+  /** Part of `held` that belongs to routers being sealed; no router can spend it. */
   inDoubt: Tokens;
-  /** Reduction that waits until data centres hand tokens back. */
+  /** Reduction that takes effect once data centres return tokens. */
   pendingReduction: Tokens;
 }
 
@@ -89,7 +89,7 @@
   const { id, amount, by, at } = change;
   const what = amount < 0 ? 'reduce' : 'top-up';
   const entry = { changeId: id, who: by, what, object: `Budget.${account}`, at, amount } as const;
-  // a lost audit is created by the next `history`, from the change that the ledger keeps
+  // If this fails, the next `history` creates the audit from the change stored in the ledger.
   await createAudit(operator.store, budgetAuditName(account, id), entry);
   const line = describePage(changed.value, []).find((one) => one.account === account);
   if (line) return Result.ok(line);
@@ -97,8 +97,8 @@
 }
 
 /**
- * Opens the budgets of accounts that have none. Opening again changes nothing, so it is done on
- * each apply: a command that died between a declaration and its budget is so made good.
+ * Opens the budgets of accounts that have none. This is idempotent and runs on each `apply`, so that
+ * it completes a command that failed after it wrote a declaration and before it opened the budget.
  */
 export async function openBudgets(
   operator: Operator,
@@ -122,7 +122,8 @@
   return Result.ok(opened);
 }
 
-// with another number of pages than the routers use, a budget would be opened where none looks
+// If the number of pages differs from the routers' setting, a budget would be opened on a page that
+// no router reads.
 function findMisplacedPage(
   pages: readonly LedgerPage[],
   ledgerPages: number,
@@ -130,15 +131,15 @@
   for (const { page, accounts } of pages) {
     const stray = Object.keys(accounts).find((account) => pageOf(account, ledgerPages) !== page);
     if (stray === undefined) continue;
-    const message = `The budget of "${stray}" stands on page ${page}, which does not fit ${ledgerPages} ledger pages. Set --ledger-pages to the value of budget.ledgerPages in the routers settings.`;
+    const message = `The budget of "${stray}" is on page ${page}, which does not match ${ledgerPages} ledger pages. Set --ledger-pages to the value of budget.ledgerPages in the routers settings.`;
     return new CliError('usage', message);
   }
   return undefined;
 }
 
 /**
- * Ends a holder that can never be sealed, because it and a witness are destroyed. What it held is
- * billed as unattributed, since bills that are lost may have spent it.
+ * Writes off a holder that can never be sealed because it and one of its witnesses are destroyed.
+ * The tokens that it held are billed as unattributed, because lost bills may have spent them.
  */
 export async function writeOffHolder(
   operator: Operator,
@@ -146,9 +147,9 @@
   holder: string,
 ): Promise<Result<'written-off', CliError>> {
   let failure = new CliError('unreachable', 'The journal could not be changed. Try again.');
-  // routers write the journal all the time, so a conflict is usual; writing off twice equals once
-  for (let tries = 0; tries < maxWriteOffTries; tries += 1) {
-    const outcome = await tryWriteOff(operator, dataCentre, holder);
+  // Routers write the journal continuously, so conflicts are frequent. A write-off is idempotent.
+  for (let attempts = 0; attempts < maxWriteOffAttempts; attempts += 1) {
+    const outcome = await attemptWriteOff(operator, dataCentre, holder);
     if (outcome.isOk) {
       await auditWriteOff(operator, dataCentre, holder);
       return outcome;
@@ -159,7 +160,7 @@
   return Result.err(failure);
 }
 
-async function tryWriteOff(
+async function attemptWriteOff(
   operator: Operator,
   dataCentre: string,
   holder: string,
--- a/packages/cli/src/runtime/drain.ts
+++ b/packages/cli/src/runtime/drain.ts
@@ -7,7 +7,10 @@
 import { createAudit } from './audit.js';
 import { fromStoreError } from '../utils/cliError.js';
 
-/** Value of the platform object `orders/drain.{service}.{server}`: no new work for the server. */
+/**
+ * Value of the platform object `orders/drain.{service}.{server}`: routers send no new requests to
+ * the server.
+ */
 export interface DrainOrder {
   type: 'drain';
   service: ServiceName;
@@ -16,7 +19,7 @@
   at: EpochMs;
 }
 
-/** Whether an order changed anything. */
+/** Outcome of `drain` or `undrain`; `unchanged` if the server was already in that state. */
 export type DrainOutcome = 'drained' | 'undrained' | 'unchanged';
 
 /** Name of the drain order of a server. */
@@ -24,7 +27,7 @@
   return `drain.${service}.${server}`;
 }
 
-/** Orders that a server gets no new work; what it is running is finished. */
+/** Creates a drain order: the server gets no new requests, and running requests finish. */
 export async function drainServer(
   operator: Operator,
   service: ServiceName,
@@ -35,14 +38,14 @@
   const created = await store.create('orders', drainName(service, server), order);
   if (created.isErr && created.error.code === 'exists') return Result.ok('unchanged');
   if (created.isErr) {
-    const doing = 'the server may not be drained yet; run the command again';
-    return Result.err(fromStoreError(created.error, doing));
+    const context = 'the server may not be drained yet; run the command again';
+    return Result.err(fromStoreError(created.error, context));
   }
   await auditDrain(operator, 'drain', drainName(service, server));
   return Result.ok('drained');
 }
 
-/** Takes a drain order back. */
+/** Removes a drain order. */
 export async function undrainServer(
   operator: Operator,
   service: ServiceName,
@@ -54,8 +57,8 @@
   if (read.isErr) return Result.err(fromStoreError(read.error, 'the order cannot be read'));
   const removed = await operator.store.remove('orders', name, read.value.version);
   if (removed.isErr && removed.error.code !== 'not-found') {
-    const doing = 'the order may still stand; run the command again';
-    return Result.err(fromStoreError(removed.error, doing));
+    const context = 'the order may still be in force; run the command again';
+    return Result.err(fromStoreError(removed.error, context));
   }
   await auditDrain(operator, 'undrain', name);
   return Result.ok('undrained');
--- a/packages/cli/src/runtime/ledgerPages.ts
+++ b/packages/cli/src/runtime/ledgerPages.ts
@@ -1,4 +1,4 @@
-/** Reads and changes ledger pages by conditional update. */
+/** Reads ledger pages and changes them with conditional updates. */
 
 import type { AccountId, LedgerPage } from '@flamingocourse/core';
 import { checkLedgerInvariant, createLedgerPage, pageOf } from '@flamingocourse/core';
@@ -6,8 +6,8 @@
 import type { Operator } from '../types/operator.js';
 import { Result } from 'true-myth';
 
-/** Data centres write the pages too, so a conflict is usual; each try reads the page again. */
-const maxTries = 10;
+/** Data centres also write the pages, so conflicts are frequent; each attempt reads the page again. */
+const maxAttempts = 10;
 
 /** Reads all pages of the ledger that exist. */
 export async function loadLedger(operator: Operator): Promise<Result<LedgerPage[], CliError>> {
@@ -19,7 +19,7 @@
 
 /**
  * Changes the page of an account. `change` must be idempotent: after a lost reply the page is read
- * again and `change` is applied to what is there, whether or not the first write took effect.
+ * again and `change` is applied to it, whether or not the first write took effect.
  */
 export async function changeLedgerPage(
   operator: Operator,
@@ -27,8 +27,8 @@
   change: (page: LedgerPage) => Result<LedgerPage, CliError>,
 ): Promise<Result<LedgerPage, CliError>> {
   let failure = new CliError('unreachable', 'the ledger could not be changed. Try again.');
-  for (let tries = 0; tries < maxTries; tries += 1) {
-    const outcome = await tryChange(operator, account, change);
+  for (let attempts = 0; attempts < maxAttempts; attempts += 1) {
+    const outcome = await attemptChange(operator, account, change);
     if (outcome.isOk) return outcome;
     failure = outcome.error;
     if (failure.code !== 'conflict' && failure.code !== 'unreachable') break;
@@ -36,7 +36,7 @@
   return Result.err(failure);
 }
 
-async function tryChange(
+async function attemptChange(
   operator: Operator,
   account: AccountId,
   change: (page: LedgerPage) => Result<LedgerPage, CliError>,
--- a/packages/cli/src/runtime/loadObjects.ts
+++ b/packages/cli/src/runtime/loadObjects.ts
@@ -7,27 +7,27 @@
 import type { Result } from 'true-myth';
 import { fromStoreError } from '../utils/cliError.js';
 
-/** What the platform holds. */
+/** Declared objects as read from the platform. */
 export interface LoadedObjects {
   objects: DeclaredObjectWithChange[];
-  /** Objects whose content cannot be read; they are left alone. */
+  /** Objects whose content cannot be parsed; they are never changed. */
   unreadable: { name: string; message: string }[];
 }
 
-/** Reads all declared objects, removed ones included. */
+/** Reads all declared objects, including removed ones. */
 export async function loadObjects(store: OperatorStore): Promise<Result<LoadedObjects, CliError>> {
   const listed = await store.list(declarationCollection);
   return listed
-    .map(sortObjects)
+    .map(parseObjects)
     .mapErr((err) => fromStoreError(err, 'declarations cannot be read'));
 }
 
-/** Declarations among the objects, without those removed. */
+/** Declarations of the objects, without removed ones. */
 export function declarationsOf(objects: readonly DeclaredObjectWithChange[]): Declaration[] {
   return objects.map((object) => object.declaration).filter((one) => one !== undefined);
 }
 
-function sortObjects(items: readonly StoredObject[]): LoadedObjects {
+function parseObjects(items: readonly StoredObject[]): LoadedObjects {
   const loaded: LoadedObjects = { objects: [], unreadable: [] };
   for (const item of items) {
     const read = readStored(item.value, Number(item.version));
--- a/packages/cli/src/runtime/status.ts
+++ b/packages/cli/src/runtime/status.ts
@@ -1,4 +1,4 @@
-/** Asks every router of the instance list how it is. */
+/** Queries the status of every router in the instance list. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { CliError } from '../utils/cliError.js';
@@ -9,22 +9,22 @@
 /** Name of the routers in the instance list. */
 const routerService = 'flamingocourse-router';
 
-/** Answer of a router's HTTP path; absent when there was none. */
+/** Sends a GET request to a router; resolves to `undefined` without a response. */
 export type FetchJson = (url: string) => Promise<{ status: number; body: unknown } | undefined>;
 
-/** What a router said. */
+/** Status of one router. */
 export interface RouterStatus {
   instance: string;
   dataCentre: string;
   listed: InstanceRecord['state'];
   ready: 'ready' | 'not ready' | 'no answer';
-  /** Highest configuration revision in force at the router, as it says itself. */
+  /** Highest configuration revision in force, as the router reports it. */
   revision?: number;
   /** Body of `GET /status`. */
   details?: Record<string, unknown>;
 }
 
-/** Reads the status of all routers, several at a time. */
+/** Reads the status of all routers concurrently. */
 export async function readStatus(
   operator: Operator,
   fetchJson: FetchJson,
@@ -33,11 +33,13 @@
   if (listed.isErr) {
     return Result.err(fromStoreError(listed.error, 'the instance list cannot be read'));
   }
-  const asked = await Promise.all(listed.value.map((instance) => askRouter(instance, fetchJson)));
-  return Result.ok(asked);
+  const statuses = await Promise.all(
+    listed.value.map((instance) => queryRouter(instance, fetchJson)),
+  );
+  return Result.ok(statuses);
 }
 
-async function askRouter(instance: InstanceRecord, fetchJson: FetchJson): Promise<RouterStatus> {
+async function queryRouter(instance: InstanceRecord, fetchJson: FetchJson): Promise<RouterStatus> {
   const base = {
     instance: instance.id,
     dataCentre: instance.dataCentre,
--- a/packages/cli/src/runtime/writeChange.ts
+++ b/packages/cli/src/runtime/writeChange.ts
@@ -1,4 +1,4 @@
-/** Makes one conditional update of a declared object and finds out whether it took effect. */
+/** Performs one conditional update of a declared object and determines whether it took effect. */
 
 import type { ChangeRecord, DeclaredObjectWithChange, PlannedChange } from '@flamingocourse/core';
 import type { OperatorStore, StoreReply, StoredObject } from '../types/operatorStore.js';
@@ -10,23 +10,23 @@
   readStored,
 } from '@flamingocourse/core';
 
-/** What became of a write. */
+/** Outcome of a write. */
 export type WriteOutcome =
   | { type: 'written'; revision: number }
-  /** Another change came first; `by` is what is in force now. */
-  | { type: 'overtaken'; by: DeclaredObjectWithChange | undefined }
+  /** Another change took effect first; `by` is the object in force now. */
+  | { type: 'conflict'; by: DeclaredObjectWithChange | undefined }
   | { type: 'unknown'; message: string };
 
-/** Tries of one write; each is the same conditional update with the same change id. */
-const maxTries = 4;
+/** Attempts of one write; each is the same conditional update with the same change id. */
+const maxAttempts = 4;
 
 /**
- * Writes a change against the revision that it was planned upon.
+ * Writes a change against the revision that it was planned against.
  *
- * A reply can be lost after the write took effect: the operator would see a failure, try again and
- * be told that someone else, in fact he himself, had been faster. So every reply but a success is
- * resolved by reading the object back: the change id in it says whose change is in force. Writing
- * again is safe, because only one of the tries can meet the planned revision.
+ * A reply can be lost after the write took effect. The operator would see a failure, retry and get
+ * a conflict with their own change. So after any reply other than a success, the object is read
+ * back: its change id identifies the change in force. A retry is safe, because at most one attempt
+ * can match the planned revision.
  */
 export async function writeChange(
   store: OperatorStore,
@@ -34,7 +34,7 @@
   record: ChangeRecord,
 ): Promise<WriteOutcome> {
   let message = '';
-  for (let tries = 0; tries < maxTries; tries += 1) {
+  for (let attempts = 0; attempts < maxAttempts; attempts += 1) {
     const reply = await sendChange(store, change, record);
     if (reply.isOk) return { type: 'written', revision: Number(reply.value.version) };
     message = reply.error.message;
@@ -55,27 +55,27 @@
   return store.update(declarationCollection, name, String(change.fromRevision), value);
 }
 
-/** Says what is in force, or nothing if the write can be tried again. */
+/** Determines the outcome from the object in force; `undefined` if the write can be retried. */
 async function resolveByReading(
   store: OperatorStore,
   change: PlannedChange,
   record: ChangeRecord,
 ): Promise<WriteOutcome | undefined> {
   const read = await store.get(declarationCollection, objectName(change));
-  if (read.isErr) return resolveUnread(read.error.code, change);
+  if (read.isErr) return resolveReadError(read.error.code, change);
   const revision = Number(read.value.version);
   const object = readStored(read.value.value, revision).unwrapOr(undefined);
   if (object?.change?.changeId === record.changeId) return { type: 'written', revision };
   if (revision === change.fromRevision) return undefined;
-  return (await findOwnAudit(store, record)) ?? { type: 'overtaken', by: object };
+  return (await findOwnAudit(store, record)) ?? { type: 'conflict', by: object };
 }
 
-function resolveUnread(code: string, change: PlannedChange): WriteOutcome | undefined {
+function resolveReadError(code: string, change: PlannedChange): WriteOutcome | undefined {
   if (code !== 'not-found' || change.fromRevision === 0) return undefined;
-  return { type: 'overtaken', by: undefined };
+  return { type: 'conflict', by: undefined };
 }
 
-// whoever overtook a change that took effect kept its audit first, so the audit proves the effect
+// A later change first writes the audit of the change it replaces, so that audit proves its effect.
 async function findOwnAudit(
   store: OperatorStore,
   record: ChangeRecord,
--- a/packages/cli/src/types/operator.ts
+++ b/packages/cli/src/types/operator.ts
@@ -1,16 +1,16 @@
-/** Who works with the platform, and how long ago "now" is. */
+/** The operator who runs a command, with the store, clock and id generator that it uses. */
 
 import type { OperatorStore } from './operatorStore.js';
 
-/** What every operation on the platform is given. */
+/** Context that every operation on the platform receives. */
 export interface Operator {
   store: OperatorStore;
   /** Name written into the audit trail. */
   who: string;
-  /** Pages of the ledger; the same as in the routers' settings. */
+  /** Number of ledger pages; must equal the value in the routers' settings. */
   ledgerPages: number;
-  /** Present time in milliseconds since the epoch. */
+  /** Current time in milliseconds since the epoch. */
   now(): number;
-  /** Gives an id that was never given before. */
+  /** Returns a new unique id. */
   newId(): string;
 }
--- a/packages/cli/src/types/operatorStore.ts
+++ b/packages/cli/src/types/operatorStore.ts
@@ -1,4 +1,4 @@
-/** What the operators' command asks of the platform. */
+/** Interface of the platform store that the operators' command needs. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
@@ -7,7 +7,7 @@
 export type OperatorCollection =
   'declarations' | 'audits' | 'ledgers' | 'journals' | 'segments' | 'orders';
 
-/** An object with the version that a conditional update must name. */
+/** An object with the version that a conditional update must give. */
 export interface StoredObject {
   name: string;
   version: string;
@@ -17,7 +17,7 @@
 export type StoreErrorCode =
   'conflict' | 'exists' | 'not-found' | 'unreachable' | 'too-large' | 'throttled' | 'invalid';
 
-/** A call that failed. After `unreachable` a write may have taken effect. */
+/** Error of a call. After `unreachable`, a write may still have taken effect. */
 export interface StoreError {
   code: StoreErrorCode;
   message: string;
--- a/packages/cli/src/utils/cliError.ts
+++ b/packages/cli/src/utils/cliError.ts
@@ -1,4 +1,4 @@
-/** Errors of the operators' command and the exit codes that they lead to. */
+/** Errors of the operators' command and their exit codes. */
 
 import type { StoreError } from '../types/operatorStore.js';
 import { LayerError } from '@flamingocourse/kernel';
@@ -17,26 +17,33 @@
 
 export type CliErrorCode = Exclude<ExitReason, 'ok'>;
 
-/** An operation that did not succeed; the message says what to do. */
+/** Error of an operation; the message says what to do. */
 export class CliError extends LayerError<CliErrorCode> {
   override readonly layer = 'cli';
 }
 
-/** Reasons from the most to the least pressing; a command reports the first that occurred. */
-const urgency: ExitReason[] = ['unreachable', 'conflict', 'guard-rail', 'usage', 'faults', 'ok'];
+/** Reasons by precedence, highest first; a command reports the first that occurred. */
+const reasonPrecedence: ExitReason[] = [
+  'unreachable',
+  'conflict',
+  'guard-rail',
+  'usage',
+  'faults',
+  'ok',
+];
 
 /**
- * Chooses the exit reason of a command that met several.
+ * Chooses the exit reason of a command with several outcomes.
  *
  * @example worstReason(['ok', 'conflict', 'faults']) // 'conflict'
  */
 export function worstReason(reasons: readonly ExitReason[]): ExitReason {
-  return urgency.find((one) => reasons.includes(one)) ?? 'ok';
+  return reasonPrecedence.find((one) => reasons.includes(one)) ?? 'ok';
 }
 
-/** Turns an error of the platform into one of the command. */
-export function fromStoreError(err: StoreError, doing: string): CliError {
-  const message = `${doing}: ${err.message}`;
+/** Converts an error of the store; `context` precedes its message. */
+export function fromStoreError(err: StoreError, context: string): CliError {
+  const message = `${context}: ${err.message}`;
   switch (err.code) {
     case 'conflict':
     case 'exists':
--- a/packages/cli/src/utils/renderTable.ts
+++ b/packages/cli/src/utils/renderTable.ts
@@ -1,4 +1,4 @@
-/** Tables for operators' terminals. */
+/** Renders tables and times for operators' terminals. */
 
 import Table from 'cli-table3';
 
@@ -16,7 +16,7 @@
   return table.toString();
 }
 
-/** Writes a time as operators read it. */
+/** Formats a time as an ISO 8601 string in UTC. */
 export function formatTime(epochMs: number): string {
   return new Date(epochMs).toISOString();
 }
--- a/test/cli/applyPlan.test.ts
+++ b/test/cli/applyPlan.test.ts
@@ -13,9 +13,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-// Bat and Oyun both plan a change of class "drafts" upon the same revision. Bat applies first. If
-// Oyun's apply overwrote his, his change would be lost without anybody being told.
-test('of two racing operators the second is refused and told who was first', async () => {
+// Two operators plan a change of class "drafts" against the same revision. If the second apply
+// overwrote the first, that change would be lost without an error.
+test('of two concurrent changes the second is refused with the author of the first', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
   const oyun = createOperator('oyun', objects);
@@ -34,10 +34,10 @@
   assert.equal(drafts?.kind === 'WorkClass' && drafts.budgetShare, 0.5);
 });
 
-// The platform carries out an update and its reply is lost. Without reading back the operator
-// would see a failure, apply again and be refused by his own change.
+// The platform performs an update and its reply is lost. If the object were not read back, the
+// operator would see a failure, apply again and get a conflict with their own change.
 for (const lost of [1, 2, 3]) {
-  test(`an apply whose reply is lost is found to be in force (${lost} lost)`, async () => {
+  test(`an apply with a lost reply is reported as applied (${lost} lost)`, async () => {
     const objects = new MemoryObjectStore();
     const bat = createOperator('bat', objects);
     const planned = await plan(bat, [serviceText, classText('a'), classText('b')]);
@@ -54,7 +54,7 @@
   });
 }
 
-// A saved plan is applied, its operator sees no answer and applies the same file again.
+// An operator gets no answer when applying a saved plan and applies the same plan again.
 test('applying the same saved plan twice changes nothing the second time', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
@@ -65,9 +65,9 @@
   assert.deepEqual(second, first);
 });
 
-// While Bat's first try is in flight without an answer, Oyun overtakes it: his change took effect
-// and was replaced. The audit, which Oyun had to keep first, proves it.
-test('a change that took effect and was replaced since counts as applied', async () => {
+// The first operator's change takes effect without an answer, and a second operator replaces it.
+// The second apply first writes the audit of the first change, which proves that it took effect.
+test('a change that took effect and was replaced counts as applied', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
   const oyun = createOperator('oyun', objects);
@@ -78,17 +78,20 @@
   assert.equal(again?.verdict, 'applied');
 });
 
-// A command dies after its change took effect and before the audit is created. The next operator
-// changes the object, which would wipe out the only record of the first change.
+// A command fails after its change took effect and before the audit is created. The next change of
+// the object would overwrite the only record of the first change.
 test('a missing audit is created before the next change and by history', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
-  const mute = { ...bat.store, create: bat.store.create.bind(bat.store) };
-  mute.create = async (collection, name, value) =>
+  const storeWithoutAudits = { ...bat.store, create: bat.store.create.bind(bat.store) };
+  storeWithoutAudits.create = async (collection, name, value) =>
     collection === 'audits'
       ? bat.store.get('audits', 'none')
       : bat.store.create(collection, name, value);
-  await apply({ ...bat, store: mute }, await plan(bat, [serviceText, classText('a')]));
+  await apply(
+    { ...bat, store: storeWithoutAudits },
+    await plan(bat, [serviceText, classText('a')]),
+  );
   assert.equal((await bat.store.list('audits')).unwrapOr([]).length, 0);
   const oyun = createOperator('oyun', objects);
   await apply(oyun, await plan(oyun, [classText('a', '"budgetShare": 0.5')]));
@@ -100,8 +103,8 @@
   ]);
 });
 
-// One class of a file would refuse all its requests. It is held back; the others come into force.
-test('a guard rail holds back its own object only, until it is acknowledged', async () => {
+// One class of a file would refuse all its requests. Only this class is not applied.
+test('a guard rail blocks only its own object, until it is acknowledged', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
   const files = [serviceText, classText('a', '"budgetShare": 0'), classText('b')];
@@ -116,9 +119,9 @@
   assert.deepEqual(verdicts(passed), { 'WorkClass.a': 'applied' });
 });
 
-// The removal of a class is held back by a guard rail. Its service must then stay too, else the
-// class would refer to nothing.
-test('what a held-back object refers to is not removed', async () => {
+// A guard rail blocks the removal of a class. Its service must then remain too, or the class would
+// refer to a missing service.
+test('an object that a blocked object refers to is not removed', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
   await apply(bat, await plan(bat, [serviceText, classText('a'), accountText('x', '1')]));
@@ -133,7 +136,7 @@
   });
 });
 
-test('a removed object stays known as removed and can be created again', async () => {
+test('a removed object stays stored as removed and can be created again', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
   await apply(bat, await plan(bat, [serviceText, classText('a')]));
@@ -146,7 +149,7 @@
   assert.ok((again[0]?.revision ?? 0) > removed.revision);
 });
 
-// A router reads what the command stored. If it could not read a removal, the removed class would
+// Routers read the stored objects. If a router could not parse a removal, the removed class would
 // stay in force there for good.
 test('routers read stored objects and removals with the schema of the core', async () => {
   const objects = new MemoryObjectStore();
@@ -163,7 +166,7 @@
   assert.ok(!('change' in (service.declaration ?? {})));
 });
 
-// One file cannot be parsed, so any object could stand in it. Pruning would remove what it holds.
+// One file cannot be parsed, so it may declare any object. Pruning would remove those objects.
 test('nothing is pruned while a file cannot be read', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
@@ -173,8 +176,8 @@
   assert.match(planned.pruneRefusal ?? '', /nothing is removed/);
 });
 
-// The platform is out: the operator must not be told that nothing happened if that is not known.
-test('during an outage the verdict is that the effect is not known', async () => {
+// During an outage, a write may take effect, so the verdict must not claim that nothing changed.
+test('during an outage the verdict says that the effect is not known', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
   const planned = await plan(bat, [serviceText]);
--- a/test/cli/budget.test.ts
+++ b/test/cli/budget.test.ts
@@ -37,8 +37,8 @@
   return { ...base, outcomes: [], ...changes };
 }
 
-// A reply to a top-up is lost and the operator runs the command again with the same receipt. The
-// account would get the money twice, and could spend what was never paid.
+// The reply to a top-up is lost and the operator runs the command again with the same change id. If
+// it counted twice, the account could spend tokens that were never paid for.
 test('a top-up with the same change id counts once, also when its reply was lost', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
@@ -67,8 +67,8 @@
   assert.equal((await showBudgets(bat)).unwrapOr([])[0]?.limit, 1_000);
 });
 
-// The command is run with another number of ledger pages than the routers use. Budgets would be
-// opened on pages where no router looks, and every request of these accounts be refused.
+// The command runs with a different number of ledger pages than the routers. Budgets would be opened
+// on pages that no router reads, and all requests of these accounts would be refused.
 test('a wrong number of ledger pages is refused before a budget is opened', async () => {
   const bat = createOperator('bat', new MemoryObjectStore());
   const names = ['altan', 'nomin', 'khan', 'delger'];
@@ -91,7 +91,7 @@
   await bat.store.create('journals', 'dc-a', journal());
   const closed = { dataCentre: 'dc-a', number: 1, bills: [bill(1, 10), bill(2, 20)], outcomes: [] };
   await bat.store.create('segments', 'dc-a-1', closed);
-  // created before the journal rolls: its bills still stand in the journal too
+  // A segment is created before the journal drops its bills, so these bills are in both.
   const rolling = { dataCentre: 'dc-a', number: 2, bills: [bill(3, 30)], outcomes: [] };
   await bat.store.create('segments', 'dc-a-2', rolling);
   const invoice = (await exportInvoice(bat, 'altan')).unwrapOrElse((err) =>
@@ -110,7 +110,7 @@
 ];
 
 for (const [name, changes, message] of invoiceFaults) {
-  test(`an invoice with ${name} says so`, async () => {
+  test(`an invoice with ${name} has a fault`, async () => {
     const bat = createOperator('bat', new MemoryObjectStore());
     await bat.store.create('journals', 'dc-a', journal(changes));
     const invoice = (await exportInvoice(bat, 'altan')).unwrapOrElse((err) =>
@@ -120,9 +120,9 @@
   });
 }
 
-// A router and its only witness burn down together. Their bills are lost, so the tokens they held
-// may have been spent: they are billed as unattributed, never given back.
-test('a write-off bills what a lost router held, once', async () => {
+// A router and its only witness are destroyed together and their bills are lost. The tokens that the
+// router held may have been spent, so they are billed as unattributed and never returned.
+test('a write-off bills the tokens of a lost router once', async () => {
   const objects = new MemoryObjectStore();
   const bat = createOperator('bat', objects);
   const lost = {
@@ -148,7 +148,7 @@
   assert.equal((await showBudgets(bat)).unwrapOr([])[0]?.inDoubt, 0);
 });
 
-test('a server is drained and taken back, each once', async () => {
+test('a server is drained and undrained, each once', async () => {
   const bat = createOperator('bat', new MemoryObjectStore());
   const run = async (): Promise<string[]> => [
     (await drainServer(bat, 's', '1')).unwrapOr('unchanged'),
--- a/test/cli/commands.test.ts
+++ b/test/cli/commands.test.ts
@@ -82,7 +82,7 @@
   });
 }
 
-test('an operator plans, applies, meets a guard rail and reads the history', async () => {
+test('plan, apply, a guard rail, a conflict and the history work together', async () => {
   const files = [serviceText, classText('a'), accountText('altan', '1')];
   const first = await run('apply', write('first.jsonc', ...files));
   assert.equal(first.code, 0, first.stderr);
@@ -112,7 +112,7 @@
   );
 });
 
-test('a budget is topped up once for a receipt and reduced', async () => {
+test('a budget is topped up once per change id and reduced', async () => {
   await run('apply', write('account.jsonc', accountText('nomin', '2')));
   const topUp = ['budget', 'top-up', '--account', 'nomin', '--tokens', '500', '--change-id', 'r1'];
   assert.equal((await run(...topUp)).code, 0);
@@ -128,7 +128,7 @@
   assert.equal(unsure.code, 5);
 });
 
-test('status asks the routers of the instance list', async () => {
+test('status queries the routers of the instance list', async () => {
   const router = createServer((req, res) => {
     res.end(JSON.stringify(req.url === '/status' ? { revision: 7 } : {}));
   });
@@ -150,7 +150,7 @@
   assert.match(partial.stdout, /r2 .* no answer/);
 });
 
-test('the binary starts a module that is built from the sources', () => {
+test('the binary starts a module that is compiled from the sources', () => {
   const bin = fileURLToPath(new URL('../../packages/cli/bin/flamingocourse.mjs', import.meta.url));
   const [, target] = /'\.\.\/dist\/(.*)\.js'/.exec(readFileSync(bin, 'utf8')) ?? [];
   assert.ok(existsSync(new URL(`../../packages/cli/src/${target ?? ''}.ts`, import.meta.url)));
