--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,9 +1,9 @@
-// lint rules: typescript-eslint strict and stylistic, and one-way imports between packages.
+// Lint rules: typescript-eslint strict and stylistic, and one-way imports between packages.
 import js from '@eslint/js';
 import prettier from 'eslint-config-prettier';
 import tseslint from 'typescript-eslint';
 
-/** Packages that each package may import; anything else is a layering fault. */
+/** Packages that each package may import; any other import is a layering error. */
 const allowedImports = {
   kernel: [],
   core: [],
@@ -75,7 +75,7 @@
     },
   },
   {
-    // node:test returns promises from test() and describe() that the runner itself awaits.
+    // test() and describe() of node:test return promises that the test runner awaits.
     files: ['test/**/*.ts'],
     rules: {
       '@typescript-eslint/no-floating-promises': [
@@ -89,7 +89,7 @@
     },
   },
   {
-    // decisions take the present time and randomness as arguments.
+    // The core takes the current time and random generators as arguments.
     files: ['packages/core/src/**/*.ts'],
     rules: {
       'no-restricted-properties': [
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,5 +1,5 @@
-// bundles the process for the users' machines into one file: loading its modules one by one costs a
-// restarted process more processor time than anything else it does in its first second.
+// Bundles the process that runs on the users' machines into one file. Loading the modules one by one
+// would take more CPU time than all other work in the first second after a restart.
 import { build } from 'esbuild';
 
 await build({
@@ -14,7 +14,7 @@
   banner: {
     js: "import { createRequire } from 'node:module'; const require = createRequire(import.meta.url);",
   },
-  // the UMD build of jsonc-parser loads its parts in a way that can't be bundled.
+  // The UMD build of jsonc-parser loads its modules in a way that esbuild cannot bundle.
   alias: { 'jsonc-parser': './node_modules/jsonc-parser/lib/esm/main.js' },
   logLevel: 'warning',
 });
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,8 +1,8 @@
-// runs every test file, or those whose path contains one of the given words.
+// Runs every test file, or those whose path contains one of the given filters.
 //
-// A test named in KNOWN-RED.txt may fail: it is printed and passed over. Any other failure fails the
-// run, and so does a listed test that passes again, so that its line gets removed. One that fails only
-// now and then is listed as "sometimes: NAME" and may do either.
+// A failure of a test that KNOWN-RED.txt lists is printed and does not fail the run. Any other failure
+// does, and so does a listed test that passes, so that its line gets removed. A flaky test is listed
+// as "sometimes: NAME" and may pass or fail.
 import { spawnSync } from 'node:child_process';
 import { ensureInstalled } from './ensureInstalled.mjs';
 import { existsSync, mkdtempSync, readdirSync, readFileSync, rmSync } from 'node:fs';
@@ -14,14 +14,14 @@
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 const SOMETIMES = 'sometimes: ';
 
-const words = process.argv.slice(2);
+const filters = process.argv.slice(2);
 const files = readdirSync('test', { recursive: true })
   .map((file) => `test/${file}`)
   .filter((file) => file.endsWith('.test.ts'))
-  .filter((file) => words.length === 0 || words.some((word) => file.includes(word)))
+  .filter((file) => filters.length === 0 || filters.some((word) => file.includes(word)))
   .sort();
 if (files.length === 0) {
-  console.error(`no test file matches: ${words.join(' ')}`);
+  console.error(`no test file matches: ${filters.join(' ')}`);
   process.exit(2);
 }
 
@@ -40,10 +40,10 @@
     '--test-reporter-destination=stdout',
     '--test-reporter=tap',
     `--test-reporter-destination=${tapFile}`,
-    // a test that hangs must fail, or CI says nothing until its own limit.
+    // A hanging test must fail here; otherwise CI shows nothing until its own timeout.
     '--test-timeout=120000',
-    // Node 20 can spin for ever while it cleans up the handles of ended child processes, after the
-    // last test has ended (seen in test/process: the main thread stays in CleanupHandles).
+    // After the last test, Node 20 can loop forever while it cleans up the handles of exited child
+    // processes (seen in test/process: the main thread stays in CleanupHandles).
     '--test-force-exit',
     ...files,
   ],
@@ -51,9 +51,9 @@
 );
 const results = readResults(tapFile);
 rmSync(directory, { recursive: true });
-process.exit(judge(run.status ?? 1, results));
+process.exit(exitCode(run.status ?? 1, results));
 
-/** Names of tests that may fail, with the whole line of each. */
+/** Map from the name of a test that may fail to its line. */
 function readKnownRed() {
   if (!existsSync(KNOWN_RED_FILE)) return new Map();
   const lines = readFileSync(KNOWN_RED_FILE, 'utf8').split('\n');
@@ -66,16 +66,16 @@
   return first.startsWith(SOMETIMES) ? first.slice(SOMETIMES.length) : first;
 }
 
-/** Names of passed and failed tests from a TAP report. A group that fails only by its tests is none itself. */
+/** Names of passed and failed tests in a TAP report. A group that fails only because of its tests is not counted. */
 function readResults(file) {
   const passed = new Set();
   const failed = new Set();
   let last;
   for (const line of readFileSync(file, 'utf8').split('\n')) {
-    const match = /^\s*(not ok|ok) \d+ - (.*?)(?: # .*)?$/.exec(line);
-    if (match) {
-      last = match[2];
-      (match[1] === 'ok' ? passed : failed).add(last);
+    const result = /^\s*(not ok|ok) \d+ - (.*?)(?: # .*)?$/.exec(line);
+    if (result) {
+      last = result[2];
+      (result[1] === 'ok' ? passed : failed).add(last);
     } else if (/^\s*failureType: 'subtestsFailed'$/.test(line)) {
       failed.delete(last);
     }
@@ -83,17 +83,17 @@
   return { passed, failed };
 }
 
-function judge(status, { passed, failed }) {
-  const repaired = [...knownRed]
+function exitCode(status, { passed, failed }) {
+  const nowPassing = [...knownRed]
     .filter(([name, line]) => !line.startsWith(SOMETIMES) && passed.has(name) && !failed.has(name))
     .map(([name]) => name);
-  for (const name of repaired) {
+  for (const name of nowPassing) {
     console.error(`"${name}" passes again: remove its line from ${KNOWN_RED_FILE}`);
   }
-  if (repaired.length > 0) return 1;
-  const unknown = [...failed].filter((name) => !knownRed.has(name));
+  if (nowPassing.length > 0) return 1;
+  const unexpected = [...failed].filter((name) => !knownRed.has(name));
   if (status === 0) return 0;
-  if (failed.size === 0 || unknown.length > 0) return status;
+  if (failed.size === 0 || unexpected.length > 0) return status;
   for (const name of failed) console.log(`known red, passed over: ${knownRed.get(name)}`);
   return 0;
 }
--- a/scripts/writeCatalogues.mjs
+++ b/scripts/writeCatalogues.mjs
@@ -1,5 +1,5 @@
-// rewrites docs/EVENTS.md, docs/METRICS.md and docs/SETTINGS.md from the catalogues in the code.
-// run with: node --conditions=@flamingocourse/source --import=tsx scripts/writeCatalogues.mjs
+// Generates docs/EVENTS.md, docs/METRICS.md and docs/SETTINGS.md from the catalogues in the code.
+// Run with: node --conditions=@flamingocourse/source --import=tsx scripts/writeCatalogues.mjs
 import { renderPages, renderText } from '../test/docs/renderPages.ts';
 import prettier from 'prettier';
 import { writeFileSync } from 'node:fs';
--- a/test/compat/builds.ts
+++ b/test/compat/builds.ts
@@ -5,15 +5,15 @@
 
 /** A built checkout of one version. */
 export interface Build {
-  /** What the report calls it. */
+  /** Name in the report. */
   label: 'this' | 'other';
-  /** Bundle of the pass-through entry. */
+  /** Path of the bundle of the pass-through entry. */
   bundle: string;
-  /** Binary of the router. */
+  /** Path of the router binary. */
   router: string;
 }
 
-/** A checkout is not there or not built; the message says what to run. */
+/** A checkout is missing or not built; the message gives the command to run. */
 export class BuildMissingError extends Error {
   override readonly name = 'BuildMissingError';
 }
--- a/test/compat/checkGateways.ts
+++ b/test/compat/checkGateways.ts
@@ -1,4 +1,7 @@
-/** Two builds of the pass-through entry in one fleet, on stored objects and settings that one of them wrote. */
+/**
+ * Checks two builds of the pass-through entry in one fleet, on stored objects and settings written
+ * by one of them.
+ */
 
 import type { FakeServer as Server } from '../platform/fakeServer.js';
 import type { Build } from './builds.js';
@@ -17,32 +20,32 @@
 import { SoakProcess } from '../soak/soakProcess.js';
 import { TOKENS_PER_EVENT, brokenPromises } from '../soak/soakPromises.js';
 
-/** So many that most instances borrow from spenders. */
+/** Enough that most instances borrow from spenders. */
 const INSTANCES = 12;
-const PORTS_EACH = 3;
+const PORTS_PER_INSTANCE = 3;
 const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'];
-/** The first two are spent during the load; the others send the request that crashes its servers. */
+/** Accounts that are charged during the load, and accounts that send the request that crashes servers. */
 const SPENDING = ['kirk', 'spock'];
 const CRASHING = ['uhura', 'sulu'];
-/** Tokens of each account: the calls of a run exceed them. */
+/** Tokens of each account; the calls of a run exceed them. */
 const LIMIT = 120_000;
-const CALL_MS = 20;
-const ALONE_MS = 3_000;
-const MIXED_MS = 8_000;
-/** Milliseconds within which all instances have to know such a request. */
+const CALL_INTERVAL_MS = 20;
+const SINGLE_BUILD_MS = 3_000;
+const MIXED_BUILDS_MS = 8_000;
+/** Milliseconds within which all instances must refuse such a request. */
 const LEARNING_MS = 3_000;
 const SEED = 41;
 
 type Instance = SoakProcess & { build: Build };
 
-/** Checks both entries; ends all processes before it returns or throws. */
+/** Checks both builds of the entry; ends all processes before it returns or throws. */
 export async function checkGateways(first: Build, second: Build): Promise<CompatReport> {
   const fleet = await GatewayFleet.create(first);
   try {
     await fleet.start();
-    await fleet.load(ALONE_MS);
+    await fleet.load(SINGLE_BUILD_MS);
     await fleet.replaceEverySecond(second);
-    await fleet.load(MIXED_MS);
+    await fleet.load(MIXED_BUILDS_MS);
     await fleet.crash(CRASHING[0] ?? '', first, second);
     await fleet.crash(CRASHING[1] ?? '', second, first);
     return fleet.report([first, second]);
@@ -82,9 +85,9 @@
     }
     const engines = await SoakCrashes.startEngines(store, scope);
     store.put('config', 'main', configOf());
-    const ports = await findFreePorts(PORTS_EACH * INSTANCES);
+    const ports = await findFreePorts(PORTS_PER_INSTANCE * INSTANCES);
     const instances = Array.from({ length: INSTANCES }, (_, at) => {
-      const settings = settingsOf(ports.slice(PORTS_EACH * at), store.url, at);
+      const settings = settingsOf(ports.slice(PORTS_PER_INSTANCE * at), store.url, at);
       return runWith(new SoakProcess(`edge-${String(at + 1)}`, directory, settings), build);
     });
     return new GatewayFleet(directory, store, plain, engines, instances, cleanUps);
@@ -94,7 +97,7 @@
     await Promise.all(this.instances.map(startUntilReady));
   }
 
-  /** Calls to all instances; each build's answers are noted apart. */
+  /** Sends calls to all instances and records the answers of each build separately. */
   async load(forMs: number): Promise<void> {
     const groups = [...new Set(this.instances.map(({ build }) => build))].map((build) => {
       const callers = this.#newCallers(this.#instancesOf(build));
@@ -105,13 +108,13 @@
     const calling = setInterval(() => {
       turn += 1;
       groups[turn % groups.length]?.send();
-    }, CALL_MS);
+    }, CALL_INTERVAL_MS);
     await delay(forMs);
     clearInterval(calling);
     await Promise.all(groups.map((callers) => callers.settle()));
   }
 
-  /** Every second instance of each data centre stops and starts again with the other build. */
+  /** Restarts every second instance of each data centre with the other build. */
   async replaceEverySecond(build: Build): Promise<void> {
     const replaced = this.instances.filter(
       (_, at) => Math.floor(at / DATA_CENTRES.length) % 2 === 1,
@@ -122,13 +125,15 @@
     }
   }
 
-  /** A request that crashes its servers is sent through one build only, and the other must refuse it. */
+  /** Sends a request that crashes servers through one build; the other build must then refuse it. */
   async crash(account: string, through: Build, other: Build): Promise<void> {
     const senders = this.#instancesOf(through);
     const crashes = new SoakCrashes(this.engines, senders, account, createRandom(SEED));
-    const knew = new Map(this.instances.map((instance) => [instance, quarantines(instance).size]));
+    const knownBefore = new Map(
+      this.instances.map((instance) => [instance, quarantines(instance).size]),
+    );
     const hasLearned = (instance: Instance): boolean => {
-      return quarantines(instance).size > (knew.get(instance) ?? 0);
+      return quarantines(instance).size > (knownBefore.get(instance) ?? 0);
     };
     crashes.start();
     try {
@@ -146,9 +151,9 @@
     const arrived = this.#crashingArrivals - arrivedBefore;
     const learned = others.filter(hasLearned).length;
     const path = `a request that crashed servers, from ${through.label} to ${other.label}`;
-    this.#seen.push(`${path}: ${String(learned)} of ${String(others.length)} instances know it`);
-    if (learned < others.length) this.#broken.push(`${path}: not all know it`);
-    if (arrived > 0) this.#broken.push(`${path}: ran ${String(arrived)} times more`);
+    this.#seen.push(`${path}: ${String(learned)} of ${String(others.length)} instances refuse it`);
+    if (learned < others.length) this.#broken.push(`${path}: not all refuse it`);
+    if (arrived > 0) this.#broken.push(`${path}: ran ${String(arrived)} more times`);
   }
 
   report(builds: readonly Build[]): CompatReport {
@@ -160,10 +165,12 @@
         answers: this.#allCallers.flatMap(({ answers }) => answers),
         arrivals: servers.flatMap(({ seen }) => seen),
         arrivalsOf: new Map(servers.map(({ id, seen }) => [id, seen])),
-        rests: [],
+        pauses: [],
         limits: new Map(SPENDING.map((account) => [account, LIMIT])),
       }),
-      ...this.instances.flatMap(({ ownEnds }) => ownEnds.map((end) => `ended by itself: ${end}`)),
+      ...this.instances.flatMap(({ unexpectedExits }) =>
+        unexpectedExits.map((exit) => `unexpected exit: ${exit}`),
+      ),
     );
     return { title: 'entries', seen: this.#seen, broken: this.#broken };
   }
@@ -189,16 +196,16 @@
       }),
     );
     const idle = this.#instancesOf(build).filter(({ name }) => !instances.has(name));
-    for (const { name } of idle) this.#broken.push(`${name} (${build.label}) served nobody`);
+    for (const { name } of idle) this.#broken.push(`${name} (${build.label}) served no request`);
     if (generated.length === 0) this.#broken.push(`the ${build.label} build spent no tokens`);
   }
 
-  /** Loans that instances of a build took from instances of the other one. */
+  /** Reports the loans that instances of one build took from instances of the other one. */
   #reportLoans(build: Build): void {
     const others = this.instances.filter((instance) => instance.build !== build);
     const names = new Set(others.map(({ name }) => name));
     const loans = this.#instancesOf(build).flatMap((instance) => {
-      return lines(instance).filter(({ name, lender }) => {
+      return parseLog(instance).filter(({ name, lender }) => {
         return name === 'prepaid-borrowed' && names.has(String(lender));
       });
     });
@@ -237,12 +244,12 @@
 async function startUntilReady(instance: Instance): Promise<void> {
   await instance.start();
   await until(`${instance.name} is ready`, async () => {
-    const [end] = instance.ownEnds;
+    const [end] = instance.unexpectedExits;
     if (end !== undefined) throw new Error(`${end}; its last line: ${lastLine(instance)}`);
     try {
       return (await fetch(`http://${instance.settings.listen.ready}/api/ready`)).ok;
     } catch (err) {
-      // it does not listen yet.
+      // The process does not listen yet.
       if (err instanceof TypeError) return false;
       throw err;
     }
@@ -255,19 +262,19 @@
   fingerprint?: unknown;
 }
 
-function lines({ output }: SoakProcess): LogLine[] {
+function parseLog({ output }: SoakProcess): LogLine[] {
   return output.split('\n').flatMap((line) => {
     try {
       return [JSON.parse(line) as LogLine];
     } catch {
-      // the kept tail of the output may begin or end within a line.
+      // The stored end of the output may begin or end within a line.
       return [];
     }
   });
 }
 
 function quarantines(instance: SoakProcess): Set<unknown> {
-  const found = lines(instance).filter(({ name }) => name === 'request-quarantined');
+  const found = parseLog(instance).filter(({ name }) => name === 'request-quarantined');
   return new Set(found.map(({ fingerprint }) => fingerprint));
 }
 
--- a/test/compat/checkRouters.ts
+++ b/test/compat/checkRouters.ts
@@ -1,4 +1,7 @@
-/** Two builds of the router in one fleet, on journals, ledgers and settings that one of them wrote. */
+/**
+ * Checks two builds of the router in one fleet, on journals, ledgers and settings written by one of
+ * them.
+ */
 
 import type { Declaration, JournalState, LedgerPage } from '@flamingocourse/core';
 import type { LoadResult } from '../../packages/lab/src/types/load.js';
@@ -26,14 +29,15 @@
 const DEPLOYMENT = 'svifvakt';
 const ROUTER_SERVICE = 'flamingocourse-router';
 const RATE_PER_SECOND = 20;
-/** Seconds of load, and milliseconds until every second router is replaced during it. */
+/** Duration of the load in seconds. */
 const LOAD_SECONDS = 16;
-const ALONE_MS = 4_000;
-/** Milliseconds in which the last bills reach the journals. */
+/** Milliseconds of load until every second router is replaced. */
+const SINGLE_BUILD_MS = 4_000;
+/** Milliseconds until the last bills have reached the journals. */
 const SETTLE_MS = 3_000;
 const SEED = 41;
 
-/** Checks both routers; ends all processes before it returns or throws. */
+/** Checks both builds of the router; ends all processes before it returns or throws. */
 export async function checkRouters(first: Build, second: Build): Promise<CompatReport> {
   const closers: (() => Promise<unknown>)[] = [];
   try {
@@ -70,7 +74,7 @@
       const index = binaries.push(first.router) - 1;
       return {
         file: process.execPath,
-        // asked for at each start.
+        // Evaluated at each start.
         get args() {
           return [binaries[index] ?? first.router, file];
         },
@@ -82,7 +86,7 @@
   const replaced = fleet.routers.map((_, index) => index).filter((index) => index % 2 === 1);
   const [load] = await Promise.all([
     sendLoad(platform, fleet.entryUrls, LOAD_SECONDS),
-    delay(ALONE_MS).then(async () => {
+    delay(SINGLE_BUILD_MS).then(async () => {
       for (const index of replaced) {
         binaries[index] = second.router;
         await fleet.terminate(index);
@@ -100,7 +104,7 @@
   const idle: string[] = [];
   for (const { entryUrl, slot } of fleet.routers) {
     const { whole } = await sendLoad(platform, [entryUrl], 1);
-    if (whole === 0) idle.push(`${slot.dataCentre}/${slot.instance} answered nobody`);
+    if (whole === 0) idle.push(`${slot.dataCentre}/${slot.instance} answered no request`);
   }
   const { requests, whole, broken, retries } = load;
   return {
--- a/test/compat/main.ts
+++ b/test/compat/main.ts
@@ -9,7 +9,7 @@
 
 const compat = command({
   name: 'compat',
-  description: 'checks that two builds work in one fleet and read what the other wrote',
+  description: 'checks that two builds work in one fleet and read the data that the other wrote',
   args: {
     other: option({
       long: 'other',
@@ -27,11 +27,11 @@
 async function check(directory: string): Promise<number> {
   try {
     const builds = [findBuild('this', '.'), findBuild('other', directory)] as const;
-    const [own, old] = builds;
+    const [current, previous] = builds;
     let broken = 0;
     for (const [first, second] of [
-      [old, own],
-      [own, old],
+      [previous, current],
+      [current, previous],
     ] as const) {
       for (const checkFleet of [checkGateways, checkRouters]) {
         const report = await checkFleet(first, second);
@@ -46,7 +46,7 @@
     console.log(`${String(broken)} promises broken`);
     return broken === 0 ? exitCodes.held : exitCodes.broken;
   } catch (err) {
-    // each check has ended what it started.
+    // Each check has stopped the processes that it started.
     console.error(err instanceof Error ? err.message : String(err));
     return err instanceof BuildMissingError ? exitCodes.usage : exitCodes.broken;
   }
--- a/test/compat/report.ts
+++ b/test/compat/report.ts
@@ -1,9 +1,9 @@
-/** What one check of two builds saw. */
+/** Result of one check of two builds. */
 
 export interface CompatReport {
   title: string;
-  /** Figures, a sentence each. */
+  /** Measured figures, one sentence each. */
   seen: string[];
-  /** Broken promises and things that have to happen and did not, a sentence each. */
+  /** Broken promises and expected events that did not happen, one sentence each. */
   broken: string[];
 }
--- a/test/docs/referencePages.test.ts
+++ b/test/docs/referencePages.test.ts
@@ -13,7 +13,7 @@
   return readFileSync(new URL(`../../docs/${file}`, import.meta.url), 'utf8');
 }
 
-/** Table lines without the padding that the formatter adds. */
+/** Table rows without the padding that the formatter adds. */
 function tableLines(text: string): string[] {
   const lines = text.split('\n').filter((line) => line.startsWith('|'));
   return lines.map((line) => line.replace(/\s+/g, ' ').replaceAll('| |', '|  |')).slice(2);
--- a/test/docs/renderPages.ts
+++ b/test/docs/renderPages.ts
@@ -4,7 +4,7 @@
 import type { EventDefinition, MetricDefinition } from '@flamingocourse/kernel';
 import { listSettings } from '@flamingocourse/router';
 
-/** A page under docs/ with a table that follows a catalogue. */
+/** A page under docs/ with a table that is generated from a catalogue. */
 export interface ReferencePage {
   file: string;
   /** Text above the table. */
@@ -18,7 +18,7 @@
   return [renderEvents(), renderMetrics(), renderSettings()];
 }
 
-/** Text of a page, before the formatter has aligned its table. */
+/** Text of a page, before the formatter aligns its table. */
 export function renderText({ intro, head, rows }: ReferencePage): string {
   const line = head.map(() => '---');
   return [intro, '', ...[head, line, ...rows].map(renderRow), ''].join('\n');
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,4 +1,4 @@
-/** `npm run soak`: plays fresh or given seeds and prints each that broke a promise. */
+/** `npm run soak`: runs new or given seeds and prints each run that broke a promise. */
 
 import { writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -6,39 +6,43 @@
 import { command, number, option, optional, run } from 'cmd-ts';
 import { runSoak } from './runSoak.js';
 
-/** Milliseconds of faults in a run. */
+/** Duration of the faults in a run, in milliseconds. */
 const FAULTS_MS = 8_000;
-/** Runs at once; each has a handful of processes. */
-const AT_ONCE = 4;
+/** Concurrent runs; each starts several processes. */
+const CONCURRENT_RUNS = 4;
 const MS_PER_MINUTE = 60_000;
 
 const soak = command({
   name: 'soak',
-  description: 'real processes under faults from outside, by seed',
+  description: 'runs real processes under injected faults, by seed',
   args: {
-    seed: option({ long: 'seed', type: optional(number), description: 'plays this seed alone' }),
-    seeds: option({ long: 'seeds', type: optional(number), description: 'seeds to play' }),
-    minutes: option({ long: 'minutes', type: optional(number), description: 'time to play for' }),
+    seed: option({ long: 'seed', type: optional(number), description: 'run only this seed' }),
+    seeds: option({ long: 'seeds', type: optional(number), description: 'number of seeds to run' }),
+    minutes: option({
+      long: 'minutes',
+      type: optional(number),
+      description: 'run new seeds for this time',
+    }),
   },
   handler: async ({ seed, seeds = 8, minutes }) => {
-    if (seed !== undefined) return play(seed);
+    if (seed !== undefined) return runSeed(seed);
     const first = Math.floor(Date.now() / 1_000);
-    const lastAt = minutes === undefined ? Infinity : Date.now() + minutes * MS_PER_MINUTE;
-    const most = minutes === undefined ? seeds : Infinity;
+    const endAt = minutes === undefined ? Infinity : Date.now() + minutes * MS_PER_MINUTE;
+    const seedLimit = minutes === undefined ? seeds : Infinity;
     let next = 0;
     const worker = async (): Promise<void> => {
-      while (next < most && Date.now() < lastAt) {
+      while (next < seedLimit && Date.now() < endAt) {
         next += 1;
-        await play(first + next);
+        await runSeed(first + next);
       }
     };
-    await Promise.all(Array.from({ length: AT_ONCE }, worker));
+    await Promise.all(Array.from({ length: CONCURRENT_RUNS }, worker));
   },
 });
 
 await run(soak, process.argv.slice(2));
 
-async function play(seed: number): Promise<void> {
+async function runSeed(seed: number): Promise<void> {
   const { calls, answered, faults, broken, output } = await runSoak(seed, FAULTS_MS);
   const figures = `${String(calls)} calls, ${String(answered)} answered, ${String(faults.length)} faults`;
   console.log(`seed ${String(seed)}: ${figures}, ${String(broken.length)} promises broken`);
--- a/test/soak/runSoak.ts
+++ b/test/soak/runSoak.ts
@@ -1,4 +1,4 @@
-/** One seeded run: real processes, stand-ins of store and servers, and faults from outside. */
+/** One seeded run: real processes, stand-ins for the store and the servers, and injected faults. */
 
 import type { Link } from '../../packages/lab/src/node/link/index.js';
 import type { Random } from '../../packages/lab/src/runtime/random.js';
@@ -19,32 +19,35 @@
 import { TOKENS_PER_EVENT, brokenPromises } from './soakPromises.js';
 
 const INSTANCES = 3;
-/** Instances of each fifth seed, so many that most of them borrow from spenders, and their data centres. */
+/** Instances in a run of every fifth seed: enough that most of them borrow from spenders. */
 const MANY_INSTANCES = 12;
 const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'] as const;
-const LARGE_EVERY = 5;
-/** Each fourth seed has a request that ends the engines that run it. */
+const MANY_INSTANCES_EVERY = 5;
+/** Every fourth seed has a request that crashes the engines that run it. */
 const CRASHES_EVERY = 4;
-/** Milliseconds after the last fault in which all may still learn of such a request. */
+/** Milliseconds after the last fault until all instances must refuse such a request. */
 const LEARNING_MS = 3_000;
 const ACCOUNTS = ['kirk', 'spock'];
-/** Tokens of an account: some of a run's calls exceed them. */
+/** Tokens of an account; the calls of a run exceed them. */
 const LIMIT = 60_000;
 const TOP_UP = 10_000;
-/** Ports of one instance: for callers, the balancer and other instances. */
-const PORTS_EACH = 3;
+/** Ports of one instance: for callers, for readiness checks and for other instances. */
+const PORTS_PER_INSTANCE = 3;
 const MS_PER_SECOND = 1_000;
-/** Milliseconds between two calls, between two faults at most, and that a fault lasts at most. */
-const CALL_MS = 25;
-const FAULT_GAP_MS = 900;
-const FAULT_MS = 1_800;
-/** Milliseconds after the last fault until callers have to be served again, and calls that show it. */
+/** Milliseconds between two calls. */
+const CALL_INTERVAL_MS = 25;
+/** Maximum milliseconds between two faults. */
+const MAX_FAULT_INTERVAL_MS = 900;
+/** Maximum duration of a fault in milliseconds. */
+const MAX_FAULT_MS = 1_800;
+/** Milliseconds after the last fault until callers must be served again. */
 const RECOVERY_MS = 6_000;
+/** Calls that check the recovery. */
 const RECOVERY_CALLS = 40;
-/** Part of plain calls that has to be answered then; a stand-in never fails by itself. */
-const RECOVERED_PART = 0.9;
+/** Fraction of the plain calls that must succeed then; without a fault, a stand-in never fails. */
+const MIN_RECOVERED_FRACTION = 0.9;
 
-/** What one run brought to light. */
+/** Result of one run. */
 export interface SoakReport {
   seed: number;
   calls: number;
@@ -56,14 +59,14 @@
 }
 
 /**
- * Plays one seed. Faults and calls draw from generators of their own, so the same seed plays the same
+ * Runs one seed. Faults and calls use separate random generators, so the same seed injects the same
  * faults however long the calls take.
  *
  * @example
  * const { broken } = await runSoak(7, 8_000);
  */
 export async function runSoak(seed: number, faultsMs: number): Promise<SoakReport> {
-  const count = seed % LARGE_EVERY === 0 ? MANY_INSTANCES : INSTANCES;
+  const count = seed % MANY_INSTANCES_EVERY === 0 ? MANY_INSTANCES : INSTANCES;
   const hasCrashes = seed % CRASHES_EVERY === 0;
   const run = await SoakRun.start(count, hasCrashes, createRandom(seed), createRandom(seed + 1));
   try {
@@ -78,7 +81,7 @@
   readonly #faults: string[] = [];
   readonly #limits = new Map(ACCOUNTS.map((account) => [account, LIMIT]));
   #version = 7;
-  #recovered = '';
+  #recoveryFailure = '';
 
   private constructor(
     readonly random: Random,
@@ -111,12 +114,12 @@
     const linked = await Promise.all(names.map((name) => new FakeServer(name).listen(scope)));
     const servers = [...linked, ...engines];
     const links = {
-      servers: await Promise.all(linked.map((server) => list(server, store))),
+      servers: await Promise.all(linked.map((server) => registerServer(server, store))),
       store: await linksTo(store.url, count),
     };
-    const ports = await findFreePorts(PORTS_EACH * count);
+    const ports = await findFreePorts(PORTS_PER_INSTANCE * count);
     const instances = links.store.map(({ url }, at) => {
-      const settings = settingsOf(ports.slice(PORTS_EACH * at), url, at);
+      const settings = settingsOf(ports.slice(PORTS_PER_INSTANCE * at), url, at);
       return new SoakProcess(`edge-${String(at + 1)}`, directory, settings);
     });
     const callers = new SoakCallers(instances, ACCOUNTS, callersRandom);
@@ -140,27 +143,27 @@
     }
   }
 
-  /** Calls all the time, faults in overlapping series, then quiet and a look at the recovery. */
+  /** Sends calls continuously and injects overlapping faults; then stops the faults and checks the recovery. */
   async play(faultsMs: number): Promise<void> {
     const calling = setInterval(() => {
       this.callers.send();
-    }, CALL_MS);
+    }, CALL_INTERVAL_MS);
     this.crashes?.start();
-    const under = new Set<Promise<void>>();
-    const lastAt = performance.now() + faultsMs;
-    while (performance.now() < lastAt) {
-      await delay(this.random.int(50, FAULT_GAP_MS));
-      const fault = this.#fault().finally(() => under.delete(fault));
-      under.add(fault);
+    const activeFaults = new Set<Promise<void>>();
+    const endAt = performance.now() + faultsMs;
+    while (performance.now() < endAt) {
+      await delay(this.random.int(50, MAX_FAULT_INTERVAL_MS));
+      const fault = this.#fault().finally(() => activeFaults.delete(fault));
+      activeFaults.add(fault);
     }
-    await Promise.all(under);
+    await Promise.all(activeFaults);
     await delay(LEARNING_MS);
-    this.crashes?.beginCalm();
+    this.crashes?.markFaultsEnded();
     await delay(RECOVERY_MS - LEARNING_MS);
     clearInterval(calling);
     this.crashes?.stop();
     await this.callers.settle();
-    await this.#lookAtRecovery();
+    await this.#checkRecovery();
   }
 
   report(): Omit<SoakReport, 'seed'> {
@@ -175,20 +178,22 @@
           answers,
           arrivals,
           arrivalsOf: new Map(this.servers.map(({ id, seen }) => [id, seen])),
-          rests: this.#undisturbedRests(),
+          pauses: this.#undisturbedPauses(),
           limits: this.#limits,
         }),
-        ...this.instances.flatMap(({ ownEnds }) => ownEnds.map((end) => `ended by itself: ${end}`)),
+        ...this.instances.flatMap(({ unexpectedExits }) =>
+          unexpectedExits.map((exit) => `unexpected exit: ${exit}`),
+        ),
         ...(this.crashes?.broken ?? []),
-        ...(this.#recovered === '' ? [] : [this.#recovered]),
+        ...(this.#recoveryFailure === '' ? [] : [this.#recoveryFailure]),
       ],
       output: this.instances.map(({ output }) => output).join('\n'),
     };
   }
 
-  #undisturbedRests(): RequestedPauseWindow[] {
-    return this.servers.flatMap(({ pauses: rests }) => {
-      return rests.filter(({ instance, from, until }) => {
+  #undisturbedPauses(): RequestedPauseWindow[] {
+    return this.servers.flatMap(({ pauses }) => {
+      return pauses.filter(({ instance, from, until }) => {
         const { disturbedAt = [] } = this.instances.find(({ name }) => name === instance) ?? {};
         return !disturbedAt.some((at) => at > from && at < until);
       });
@@ -204,7 +209,7 @@
     await rm(this.directory, { recursive: true, force: true });
   }
 
-  async #lookAtRecovery(): Promise<void> {
+  async #checkRecovery(): Promise<void> {
     const before = this.callers.answers.length;
     for (let at = 0; at < RECOVERY_CALLS; at += 1) this.callers.send();
     await this.callers.settle();
@@ -212,13 +217,13 @@
       .slice(before)
       .filter(({ kind }) => kind === 'look' || kind === 'book');
     const served = plain.filter(({ status }) => status === 200).length;
-    if (served >= RECOVERED_PART * plain.length) return;
-    this.#recovered = `after the faults ${String(served)} of ${String(plain.length)} were served`;
+    if (served >= MIN_RECOVERED_FRACTION * plain.length) return;
+    this.#recoveryFailure = `after the faults, ${String(served)} of ${String(plain.length)} plain calls were served`;
   }
 
   #fault(): Promise<void> {
     const { random } = this;
-    const forMs = random.int(200, FAULT_MS);
+    const forMs = random.int(200, MAX_FAULT_MS);
     const instance = random.pick(this.instances);
     const at = this.instances.indexOf(instance);
     const faults: { name: string; weight: number; run: () => Promise<void> }[] = [
@@ -249,7 +254,7 @@
         run: () => slow(random.pick(this.links.servers), forMs),
       },
       { name: 'a server fails', weight: 2, run: () => this.#misbehave(forMs) },
-      { name: 'a server rests', weight: 2, run: () => this.#rest(forMs) },
+      { name: 'a server rests', weight: 2, run: () => this.#requestPause(forMs) },
       { name: 'a server leaves and starts again', weight: 1, run: () => this.#leave(forMs) },
       { name: 'a server limits requests', weight: 1, run: () => this.#limitRate(forMs) },
       { name: 'top-up', weight: 1, run: () => this.#topUp() },
@@ -279,7 +284,7 @@
     server.behaviour = usual;
   }
 
-  async #rest(forMs: number): Promise<void> {
+  async #requestPause(forMs: number): Promise<void> {
     const server = this.random.pick(this.servers);
     const usual: Behaviour = server.id.startsWith('e') ? 'stream' : 'answer';
     server.rest = String(forMs / MS_PER_SECOND);
@@ -288,7 +293,7 @@
     server.behaviour = usual;
   }
 
-  /** It says in its answers that it leaves, and is another start of the same server after that. */
+  /** The server announces in its answers that it is leaving, then starts again as a new incarnation. */
   async #leave(forMs: number): Promise<void> {
     const server = this.random.pick(this.servers);
     if (server.saysLeaving) return;
@@ -319,7 +324,7 @@
       return { name, api_keys: [`key-of-${name}`], prepaid };
     });
     const { services } = configWith() as { services: { engine?: object }[] };
-    const told = services.map((service) => {
+    const sized = services.map((service) => {
       return service.engine
         ? { ...service, engine: { slots: 16, stride: TOKENS_PER_EVENT } }
         : service;
@@ -327,7 +332,7 @@
     this.store.put(
       'config',
       'main',
-      configWith({ version: this.#version, tenants, services: told }),
+      configWith({ version: this.#version, tenants, services: sized }),
     );
   }
 }
@@ -337,7 +342,7 @@
     try {
       return (await fetch(`http://${settings.listen.ready}/api/ready`)).ok;
     } catch (err) {
-      // it does not listen yet.
+      // The process does not listen yet.
       if (err instanceof TypeError) return false;
       throw err;
     }
@@ -349,7 +354,7 @@
   signal: 'SIGKILL' | 'SIGTERM',
   forMs: number,
 ): Promise<void> {
-  // one restart at a time: a process that is away is not started twice.
+  // One restart at a time, so that a stopped process is not started twice.
   if (instance.busy) return;
   instance.busy = true;
   await instance.end(signal);
@@ -359,7 +364,7 @@
 }
 
 async function pause(instance: SoakProcess, forMs: number): Promise<void> {
-  if (instance.isUp) instance.signal('SIGHUP');
+  if (instance.hasOutput) instance.signal('SIGHUP');
   instance.signal('SIGSTOP');
   await delay(forMs);
   instance.signal('SIGCONT');
@@ -377,10 +382,10 @@
   link.setLatency(0);
 }
 
-/** Lists a server in the store, at the near end of a link to it. */
-async function list(server: FakeServer, store: FakeStore): Promise<Link> {
+/** Registers a server in the store under the address of a link to it. */
+async function registerServer(server: FakeServer, store: FakeStore): Promise<Link> {
   const [link] = await linksTo(`http://${server.address}`, 1);
-  if (!link) throw new RangeError('no link was made');
+  if (!link) throw new RangeError('no link was created');
   const isEngine = server.id.startsWith('e');
   server.behaviour = isEngine ? 'stream' : 'answer';
   const address = `127.0.0.1:${String(link.port)}`;
--- a/test/soak/soakCallers.ts
+++ b/test/soak/soakCallers.ts
@@ -1,4 +1,4 @@
-/** Callers that send requests of all kinds to the instances, and note what they were told. */
+/** Callers that send requests of all kinds to the instances and record the answers. */
 
 import type { Random } from '../../packages/lab/src/runtime/random.js';
 import type { SoakProcess } from './soakProcess.js';
@@ -8,30 +8,30 @@
 
 export type CallKind = 'look' | 'book' | 'chat' | 'draft';
 
-/** One request as its caller saw it. */
+/** One request and the answer that its caller received. */
 export interface SeenAnswer {
   id: string;
   kind: CallKind;
   account: string;
   prompt: number;
-  /** 0 without an answer. */
+  /** HTTP status; 0 without an answer. */
   status: number;
-  /** Id that the answer names. */
+  /** Request id in the answer. */
   answeredId: string | undefined;
   body: string;
   complete: boolean;
 }
 
-/** Milliseconds after which a caller gives up. */
-const PATIENCE_MS = 2_500;
-/** Milliseconds that a caller grants a request. */
+/** Milliseconds after which a caller closes the connection. */
+const CALLER_TIMEOUT_MS = 2_500;
+/** Deadline that a caller sends with a request, in milliseconds. */
 const DEADLINE_MS = 1_500;
 
 export class SoakCallers {
   readonly answers: SeenAnswer[] = [];
-  /** Callers keep using open connections until the instance closes them. */
+  /** Callers reuse open connections until the instance closes them. */
   readonly #agent = new Agent({ keepAlive: true, maxSockets: 32 });
-  readonly #open = new Set<Promise<void>>();
+  readonly #inFlight = new Set<Promise<void>>();
   #count = 0;
 
   constructor(
@@ -41,7 +41,7 @@
     readonly idPrefix = 'q',
   ) {}
 
-  /** Sends one request; its answer is noted when it ends. */
+  /** Sends one request; its answer is recorded when it ends. */
   send(): void {
     const { random } = this;
     this.#count += 1;
@@ -51,22 +51,22 @@
       account: random.pick(this.accounts),
       prompt: random.int(100, 2_000),
     };
-    const done = this.#ask(random.pick(this.instances), call).then((answer) => {
+    const done = this.#request(random.pick(this.instances), call).then((answer) => {
       this.answers.push(answer);
-      this.#open.delete(done);
+      this.#inFlight.delete(done);
     });
-    this.#open.add(done);
+    this.#inFlight.add(done);
   }
 
   async settle(): Promise<void> {
-    await Promise.all(this.#open);
+    await Promise.all(this.#inFlight);
   }
 
   close(): void {
     this.#agent.destroy();
   }
 
-  #ask(
+  #request(
     { name, port }: SoakProcess,
     call: Pick<SeenAnswer, 'id' | 'kind' | 'account' | 'prompt'>,
   ): Promise<SeenAnswer> {
@@ -95,7 +95,7 @@
         headers,
         agent: this.#agent,
       });
-      const timer = setTimeout(() => req.destroy(), PATIENCE_MS);
+      const timer = setTimeout(() => req.destroy(), CALLER_TIMEOUT_MS);
       const end = (): void => {
         clearTimeout(timer);
         resolve(answer);
@@ -106,7 +106,7 @@
         answer.answeredId = res.headers['x-request-id']?.toString();
         res.setEncoding('utf8');
         res.on('data', (chunk: string) => (answer.body += chunk));
-        // a broken answer shows as incomplete below.
+        // A broken answer is recorded as incomplete below.
         res.on('error', () => undefined);
         res.on('close', () => {
           answer.complete = res.complete;
--- a/test/soak/soakCrashes.ts
+++ b/test/soak/soakCrashes.ts
@@ -1,4 +1,4 @@
-/** A request that ends the engines that run it, sent again and again. */
+/** Repeatedly sends a request that crashes the engines that run it. */
 
 import type { TestContext } from 'node:test';
 import type { Random } from '../../packages/lab/src/runtime/random.js';
@@ -9,10 +9,11 @@
 import { HOST } from '../platform/world.js';
 
 const ENGINES = 6;
-const REPEAT_MS = 150;
-/** Servers that end before all have to refuse it, and times that it may be sent on afterwards. */
-const PROVEN = 3;
-const MOST_SENT = 3;
+const REPEAT_INTERVAL_MS = 150;
+/** Crashed servers after which all instances must refuse the request. */
+const PROVEN_CRASHES = 3;
+/** Servers that the request may still reach after that. */
+const MAX_SENT = 3;
 
 export class SoakCrashes {
   #timer: NodeJS.Timeout | undefined;
@@ -26,38 +27,41 @@
     readonly random: Random,
   ) {}
 
-  /** Starts engines that the store lists at their own address: behind a link they would never refuse a connection. */
+  /**
+   * Starts engines that the store lists under their own addresses. Behind a link, a crashed engine
+   * would never refuse a connection.
+   */
   static async startEngines(
     store: FakeStore,
     scope: Pick<TestContext, 'after'>,
   ): Promise<FakeServer[]> {
     const names = Array.from({ length: ENGINES }, (_, i) => `e${String(i + 1)}`);
     const engines = await Promise.all(names.map((name) => new FakeServer(name).listen(scope)));
-    for (const engine of engines) listAgainAfterCrashes(engine, store);
+    for (const engine of engines) registerAfterRestarts(engine, store);
     return engines;
   }
 
   start(): void {
     this.#timer = setInterval(() => {
       this.#send();
-    }, REPEAT_MS);
+    }, REPEAT_INTERVAL_MS);
   }
 
-  /** From now on nothing disturbs the instances. */
-  beginCalm(): void {
+  /** Starts the period without other faults. */
+  markFaultsEnded(): void {
     this.#arrivedBefore = this.#arrived;
-    this.#wasProven = this.engines.reduce((sum, { crashed }) => sum + crashed, 0) >= PROVEN;
+    this.#wasProven = this.engines.reduce((sum, { crashed }) => sum + crashed, 0) >= PROVEN_CRASHES;
   }
 
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** What was broken in the calm, in a sentence. */
+  /** Promises broken in the period without other faults, one sentence each. */
   get broken(): string[] {
     const sent = this.#arrived - this.#arrivedBefore;
-    if (!this.#wasProven || sent <= MOST_SENT) return [];
-    return [`a request that ends servers was sent to ${String(sent)} more in the calm`];
+    if (!this.#wasProven || sent <= MAX_SENT) return [];
+    return [`a request that crashes servers was sent to ${String(sent)} more after the last fault`];
   }
 
   get #arrived(): number {
@@ -77,23 +81,23 @@
     const { port } = this.random.pick(this.instances);
     const to = { host: '127.0.0.1', port, path: '/draft/1', method: 'POST', headers };
     const req = request(to, (res) => res.resume());
-    // an instance that is away refuses it; the next try goes to another one.
+    // A stopped instance refuses the connection; the next request goes to another one.
     req.on('error', () => undefined);
     req.end(CRASHING_BODY);
   }
 }
 
-function listAgainAfterCrashes(engine: FakeServer, store: FakeStore): void {
-  let listed = engine.id;
-  const list = (): void => {
+function registerAfterRestarts(engine: FakeServer, store: FakeStore): void {
+  let registeredId = engine.id;
+  const register = (): void => {
     store.put('servers', engine.id, engine.entry('llm', { slots: 16, born: engine.crashed + 1 }));
   };
   engine.behaviour = 'stream';
   engine.crashes = 'after-head';
   engine.onRestart = () => {
-    store.remove('servers', listed);
-    listed = engine.id;
-    list();
+    store.remove('servers', registeredId);
+    registeredId = engine.id;
+    register();
   };
-  list();
+  register();
 }
--- a/test/soak/soakPromises.ts
+++ b/test/soak/soakPromises.ts
@@ -1,43 +1,44 @@
-/** What callers and servers must have seen, whatever failed. */
+/** Checks what callers and servers observed against the promises, which hold under every fault. */
 
 import type { RequestedPauseWindow, SeenRequest } from '../platform/fakeServer.js';
 import type { SeenAnswer } from './soakCallers.js';
 import { USED_INSTANCE, event } from '../platform/fakeServer.js';
 
-/** Tokens in one event of the stand-ins' streams. */
+/** Tokens per event in the streams of the stand-ins. */
 export const TOKENS_PER_EVENT = 3;
 const EVENTS = 4;
-/** Milliseconds from a server's word to the time in which its rest is judged, and requests allowed in it. */
-const REST_HEARD_MS = 500;
-const MOST_IN_REST = 2;
-const NOT_RUN: readonly number[] = [408, 421, 429, 503];
+/** Milliseconds after the start of a requested pause until requests count against it. */
+const PAUSE_GRACE_MS = 500;
+/** Requests that may still be sent during a requested pause. */
+const MAX_IN_PAUSE = 2;
+const NOT_RUN_STATUSES: readonly number[] = [408, 421, 429, 503];
 
-/** All that was seen of one run. */
-export interface Seen {
+/** Observations of one run. */
+export interface RunObservations {
   answers: readonly SeenAnswer[];
-  /** What reached the servers. */
+  /** Requests that reached the servers. */
   arrivals: readonly SeenRequest[];
-  /** What reached each server, by its id. */
+  /** Requests that reached each server, by its id. */
   arrivalsOf: ReadonlyMap<string, readonly SeenRequest[]>;
-  /** Rests that servers asked for, without those in which the instance was disturbed. */
-  rests: readonly RequestedPauseWindow[];
-  /** The highest limit that each account ever had. */
+  /** Pauses that servers requested, without those during which the instance received a signal. */
+  pauses: readonly RequestedPauseWindow[];
+  /** Highest limit of each account during the run. */
   limits: ReadonlyMap<string, number>;
 }
 
 /**
- * Every broken promise, in a sentence each.
+ * Returns the broken promises, one sentence each.
  *
  * @example
  * assert.deepEqual(brokenPromises(seen), []);
  */
-export function brokenPromises(seen: Seen): string[] {
+export function brokenPromises(seen: RunObservations): string[] {
   const runs = countRuns(seen.arrivals);
   return [
     ...seen.answers.flatMap((answer) => brokenByAnswer(answer, runs.get(answer.id) ?? 0)),
-    ...passedBudgets(seen),
-    ...leakedKeys(seen.arrivals),
-    ...brokenRests(seen),
+    ...exceededBudgets(seen),
+    ...forwardedKeys(seen.arrivals),
+    ...brokenPauses(seen),
   ];
 }
 
@@ -56,7 +57,7 @@
   const broken: string[] = [];
   const once = kind === 'book' || kind === 'chat';
   if (once && runs > 1) broken.push(`${id} (${kind}) ran ${String(runs)} times`);
-  if (NOT_RUN.includes(status) && once && runs > 0) {
+  if (NOT_RUN_STATUSES.includes(status) && once && runs > 0) {
     broken.push(`${id} (${kind}) was answered ${String(status)} and ran`);
   }
   if (status === 200 && answeredId !== id)
@@ -71,7 +72,7 @@
   return broken;
 }
 
-function passedBudgets({ answers, limits }: Seen): string[] {
+function exceededBudgets({ answers, limits }: RunObservations): string[] {
   const used = new Map<string, number>();
   for (const { account, kind, status, prompt, body } of answers) {
     const events = body.split('\n\n').length - 1;
@@ -85,18 +86,22 @@
     );
 }
 
-function leakedKeys(arrivals: readonly SeenRequest[]): string[] {
+function forwardedKeys(arrivals: readonly SeenRequest[]): string[] {
   return arrivals
     .filter(({ headers }) => headers.authorization !== undefined)
-    .map(({ headers }) => `the key of ${String(headers['x-request-id'])} was passed on`);
+    .map(
+      ({ headers }) => `the key of ${String(headers['x-request-id'])} was forwarded to a server`,
+    );
 }
 
-function brokenRests({ rests, arrivalsOf }: Seen): string[] {
-  return rests.flatMap(({ server, instance, from, until }) => {
-    const inRest = (arrivalsOf.get(server) ?? []).filter(({ at, headers }) => {
-      return headers[USED_INSTANCE] === instance && at > from + REST_HEARD_MS && at < until;
+function brokenPauses({ pauses, arrivalsOf }: RunObservations): string[] {
+  return pauses.flatMap(({ server, instance, from, until }) => {
+    const duringPause = (arrivalsOf.get(server) ?? []).filter(({ at, headers }) => {
+      return headers[USED_INSTANCE] === instance && at > from + PAUSE_GRACE_MS && at < until;
     });
-    if (inRest.length <= MOST_IN_REST) return [];
-    return [`${instance} sent ${String(inRest.length)} requests to ${server} in its rest`];
+    if (duringPause.length <= MAX_IN_PAUSE) return [];
+    return [
+      `${instance} sent ${String(duringPause.length)} requests to ${server} during its pause`,
+    ];
   });
 }
