--- a/packages/lab/src/node/demo/applyExamples.ts
+++ b/packages/lab/src/node/demo/applyExamples.ts
@@ -1,4 +1,4 @@
-/** Applies a deployment's example declarations with the operators' command, as an operator would. */
+/** Applies the example declarations of a deployment with the operators' command. */
 
 import { execFile } from 'node:child_process';
 import { readdir } from 'node:fs/promises';
@@ -20,7 +20,10 @@
   const names = await readdir(directory).catch(() => []);
   const files = names.filter((name) => name.endsWith('.jsonc')).map((name) => directory + name);
   if (files.length > 0) return files.sort();
-  throw new LabError('apply-failed', `${directory} holds no declarations; put *.jsonc files there`);
+  throw new LabError(
+    'apply-failed',
+    `${directory} contains no declarations; add *.jsonc files to it`,
+  );
 }
 
 function runCommand(args: string[], platformUrl: string): Promise<void> {
--- a/packages/lab/src/node/demo/runDemo.ts
+++ b/packages/lab/src/node/demo/runDemo.ts
@@ -1,4 +1,4 @@
-/** The demo: a whole deployment on loopback, a bounded load, and what came of it. */
+/** The demo: starts a whole deployment on loopback, runs a bounded load and checks the result. */
 
 import type { Declaration, JournalState, LedgerPage } from '@flamingocourse/core';
 import type { DemoOptions, DemoResult } from '../../types/demo.js';
@@ -18,19 +18,19 @@
 import { applyExamples } from './applyExamples.js';
 import { startBackends } from './startBackends.js';
 
-/** Time for the routers to bring the last bills into the journals. */
+/** Milliseconds until the routers have written the last bills to the journals. */
 const SETTLE_MS = 3_000;
 const ROUTER_SERVICE = 'flamingocourse-router';
 
-/** Parts of a running deployment, stopped in the reverse of this order. */
-interface Stage {
+/** Components of a running deployment, in start order; they are stopped in reverse order. */
+interface RunningDeployment {
   platform: PlatformStandIn;
   backends: Backends;
   fleet: FleetRunner;
 }
 
 /**
- * Runs the demo and stops everything that it started.
+ * Runs the demo and stops the deployment at the end.
  *
  * @example
  * const result = await runDemo({ deployment: 'svifvakt', seconds: 10, ratePerSecond: 20, ...rest });
@@ -39,22 +39,22 @@
 export async function runDemo(options: DemoOptions): Promise<DemoResult> {
   const closers: (() => Promise<unknown>)[] = [];
   try {
-    const stage = await startStage(options, closers);
-    const load = await runDemoLoad(options, stage);
+    const deployment = await startDeployment(options, closers);
+    const load = await runDemoLoad(options, deployment);
     await delay(SETTLE_MS, undefined, { signal: options.signal }).catch(() => undefined);
-    const result = judge(options, stage, load);
-    if (options.keep && !options.signal.aborted) await keepRunning(options, stage);
+    const result = createResult(options, deployment, load);
+    if (options.keep && !options.signal.aborted) await keepRunning(options, deployment);
     return result;
   } finally {
-    options.onProgress('stopping what was started');
+    options.onProgress('stopping the deployment');
     for (const close of closers.reverse()) await close();
   }
 }
 
-async function startStage(
+async function startDeployment(
   options: DemoOptions,
   closers: (() => Promise<unknown>)[],
-): Promise<Stage> {
+): Promise<RunningDeployment> {
   const plan = deployments[options.deployment];
   const listenPorts = Object.fromEntries(plan.dataCentres.map((name) => [name, 0]));
   const platform = await createPlatformStandIn({ listenPorts, seed: options.seed });
@@ -80,11 +80,14 @@
   return { platform, backends, fleet };
 }
 
-async function runDemoLoad(options: DemoOptions, stage: Stage): Promise<LoadResult> {
-  const declarations = readValues<Declaration>(stage.platform, 'declarations');
+async function runDemoLoad(
+  options: DemoOptions,
+  deployment: RunningDeployment,
+): Promise<LoadResult> {
+  const declarations = readValues<Declaration>(deployment.platform, 'declarations');
   const { accounts, mix } = declaredLoad(declarations);
   return runLoad({
-    targets: stage.fleet.entryUrls.map((url) => ({ url, weight: 1 })),
+    targets: deployment.fleet.entryUrls.map((url) => ({ url, weight: 1 })),
     accounts,
     mix,
     ratePerSecond: options.ratePerSecond,
@@ -100,7 +103,11 @@
   });
 }
 
-function judge(options: DemoOptions, { platform, backends }: Stage, load: LoadResult): DemoResult {
+function createResult(
+  options: DemoOptions,
+  { platform, backends }: RunningDeployment,
+  load: LoadResult,
+): DemoResult {
   const figures = {
     deployment: options.deployment,
     load,
@@ -114,7 +121,10 @@
   return { ...figures, violations, report: createDemoReport(figures) };
 }
 
-async function keepRunning(options: DemoOptions, { fleet, platform }: Stage): Promise<void> {
+async function keepRunning(
+  options: DemoOptions,
+  { fleet, platform }: RunningDeployment,
+): Promise<void> {
   const [entry = '', other = ''] = fleet.entryUrls;
   const { exampleAccount } = deployments[options.deployment];
   options.onProgress(`entries: ${fleet.entryUrls.join(' ')}`);
@@ -124,7 +134,7 @@
   options.onProgress(`export FLAMINGOCOURSE_ENTRY=${entry} FLAMINGOCOURSE_OTHER_ENTRY=${other}`);
   options.onProgress(`export FLAMINGOCOURSE_KEY=demo-${exampleAccount}`);
   options.onProgress(`export FLAMINGOCOURSE_PLATFORM=${platform.operatorsUrl}`);
-  options.onProgress('running on; end with Ctrl-C');
+  options.onProgress('still running; stop with Ctrl-C');
   await once(options.signal, 'abort');
 }
 
--- a/packages/lab/src/node/demo/startBackends.ts
+++ b/packages/lab/src/node/demo/startBackends.ts
@@ -13,7 +13,7 @@
 export interface Backends {
   engines: EngineStandIn[];
   plainServices: PlainServiceStandIn[];
-  /** Records of all plain services together. */
+  /** Combined records of all plain services. */
   records: ServiceRecords;
   /** Entries of the instance list, by service. */
   instances: Map<string, InstanceRecord[]>;
@@ -21,7 +21,7 @@
 }
 
 /**
- * Starts all servers of all services, spread over the data centres.
+ * Starts all servers of all services, distributed over the data centres.
  *
  * @example
  * const backends = await startBackends(deployments['tsagaan-deel'], 1);
--- a/packages/lab/src/node/fleetRunner/fleetRunner.ts
+++ b/packages/lab/src/node/fleetRunner/fleetRunner.ts
@@ -1,4 +1,4 @@
-/** Starts a fleet of router processes on loopback and lets tests and measurements disturb it. */
+/** Starts a fleet of router processes on loopback, in which tests and measurements inject faults. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { FleetRunnerOptions, RouterCommand, RouterSlot } from '../../types/fleetRunner.js';
@@ -21,8 +21,10 @@
   new URL('../../../../router/bin/flamingocourseRouter.mjs', import.meta.url),
 );
 
-const sourceModule = new URL('../../../dist/node/fleetRunner/sourceAddress.js', import.meta.url)
-  .href;
+const sourceAddressModule = new URL(
+  '../../../dist/node/fleetRunner/sourceAddress.js',
+  import.meta.url,
+).href;
 
 /**
  * A fleet of router processes, addressed by index.
@@ -36,7 +38,7 @@
  */
 export class FleetRunner {
   readonly routers: RouterProcess[];
-  /** Secret of this fleet, with which the ids of requests can be read. */
+  /** Secret of this fleet; needed to decode request ids. */
   readonly fleetSecret: string;
   readonly #onInstances: (records: InstanceRecord[]) => void;
 
@@ -46,7 +48,7 @@
     this.#onInstances = options.onInstances ?? (() => undefined);
   }
 
-  /** Writes a settings file for each router; starts nothing yet. */
+  /** Writes a settings file for each router, without starting any. */
   static async create(options: FleetRunnerOptions): Promise<FleetRunner> {
     const addresses = await chooseAddresses(options);
     const fleetSecret = randomBytes(SECRET_BYTES).toString('hex');
@@ -81,42 +83,43 @@
   /** Starts all routers and waits until all are ready. */
   async start(): Promise<void> {
     for (const router of this.routers) router.start();
-    this.#announce();
+    this.#publishInstances();
     await Promise.all(this.routers.map((router) => router.ready()));
   }
 
-  /** Ends a router at once. */
+  /** Kills a router (SIGKILL). */
   async kill(index: number): Promise<ProcessEnd> {
     const end = await this.#router(index).kill();
-    this.#announce();
+    this.#publishInstances();
     return end;
   }
 
-  /** Stops a router gracefully. */
+  /** Stops a router gracefully (SIGTERM). */
   async terminate(index: number): Promise<ProcessEnd> {
     const end = await this.#router(index).terminate();
-    this.#announce();
+    this.#publishInstances();
     return end;
   }
 
-  /** Starts an ended router again on its old addresses and waits until it is ready. */
+  /** Starts a stopped router again on the same addresses and waits until it is ready. */
   async restart(index: number): Promise<void> {
     const router = this.#router(index);
     router.start();
-    this.#announce();
+    this.#publishInstances();
     await router.ready();
   }
 
-  /** Lets a router stand still; the instance list goes on showing it. */
+  /** Suspends a router (SIGSTOP); the instance list still contains it. */
   freeze(index: number): void {
     this.#router(index).freeze();
   }
 
+  /** Resumes a suspended router (SIGCONT). */
   thaw(index: number): void {
     this.#router(index).thaw();
   }
 
-  /** Stops all routers gracefully, and only those. */
+  /** Stops all routers gracefully. */
   async stop(): Promise<ProcessEnd[]> {
     const running = this.routers.filter((router) => router.state !== 'stopped');
     return Promise.all(running.map((router) => router.terminate()));
@@ -128,7 +131,7 @@
     throw new RangeError(`no router ${index}; there are ${this.routers.length}`);
   }
 
-  #announce(): void {
+  #publishInstances(): void {
     const live = this.routers.filter((router) => router.state !== 'stopped');
     this.#onInstances(
       live.map(({ slot, meshUrl }) => ({
@@ -143,10 +146,11 @@
 }
 
 interface RouterAddress {
-  /** Ports that the router listens on. */
+  /** Port that the router listens on for callers. */
   entry: number;
+  /** Port that the router listens on for its peers. */
   mesh: number;
-  /** URLs that its peers use, through relays where there is a network. */
+  /** URLs under which others reach the router; they lead through relays if there is a network. */
   entryUrl: string;
   meshUrl: string;
 }
@@ -186,7 +190,7 @@
 }
 
 function runRouterBinary(settingsFile: string, source: string | undefined): RouterCommand {
-  const options = source === undefined ? [] : [`--import=${sourceModule}?address=${source}`];
+  const options = source === undefined ? [] : [`--import=${sourceAddressModule}?address=${source}`];
   return { file: process.execPath, args: [...options, routerBinary, settingsFile] };
 }
 
@@ -194,7 +198,7 @@
   return `http://${HOST}:${port}`;
 }
 
-/** Puts the members of each section of `changes` over those of `base`. */
+/** Merges `changes` into `base`, section by section; values of `changes` take precedence. */
 function mergeSections(
   base: Record<string, unknown>,
   changes: Record<string, unknown>,
--- a/packages/lab/src/node/fleetRunner/routerProcess.ts
+++ b/packages/lab/src/node/fleetRunner/routerProcess.ts
@@ -1,4 +1,4 @@
-/** One router process: start, stop, kill, freeze and thaw, always by its own pid. */
+/** One router process: start, stop, kill, suspend and resume, always by its own process id. */
 
 import type { ChildProcess } from 'node:child_process';
 import type { RouterCommand, RouterProcessState, RouterSlot } from '../../types/fleetRunner.js';
@@ -7,7 +7,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { LabError } from '../../utils/labError.js';
 
-/** What a router process is started with. */
+/** Options of a router process. */
 export interface RouterProcessOptions {
   slot: RouterSlot;
   entryUrl: string;
@@ -19,7 +19,7 @@
   stopTimeoutMs: number;
 }
 
-/** How a process ended. */
+/** Exit code or signal of an ended process; both are `null` if it could not be started. */
 export interface ProcessEnd {
   code: number | null;
   signal: NodeJS.Signals | null;
@@ -54,7 +54,7 @@
     return this.#child?.pid;
   }
 
-  /** Starts the process; {@link ready} tells when it serves. */
+  /** Starts the process; {@link ready} resolves once it serves requests. */
   start(): void {
     if (this.#state !== 'stopped') return;
     const { file, args } = this.#options.command;
@@ -75,37 +75,37 @@
     });
   }
 
-  /** Resolves once `GET /readyz` answers 200; rejects when the process ends or time runs out. */
+  /** Resolves once `GET /readyz` returns 200; rejects if the process ends or after the timeout. */
   async ready(): Promise<void> {
     const end = Date.now() + this.#options.readyTimeoutMs;
     while (!(await isReady(this.entryUrl))) {
-      const problem = this.#notReadyYet(Date.now() > end);
+      const problem = this.#readyError(Date.now() > end);
       if (problem) throw problem;
       await delay(READY_POLL_MS);
     }
   }
 
-  /** SIGKILL: ends at once, with all requests in progress. */
+  /** SIGKILL: ends the process immediately; all requests in progress are lost. */
   async kill(): Promise<ProcessEnd> {
     this.#child?.kill('SIGKILL');
     return this.#ended;
   }
 
-  /** SIGSTOP: the process stands still and still believes that it holds its rights. */
+  /** SIGSTOP: suspends the process, which still assumes that it holds its tokens and leases. */
   freeze(): void {
     if (this.#state !== 'running') return;
     this.#child?.kill('SIGSTOP');
     this.#state = 'frozen';
   }
 
-  /** SIGCONT: the process goes on where it stood. */
+  /** SIGCONT: the process continues where it was suspended. */
   thaw(): void {
     if (this.#state !== 'frozen') return;
     this.#child?.kill('SIGCONT');
     this.#state = 'running';
   }
 
-  /** SIGTERM, a graceful shutdown; SIGKILL when that takes too long, which the end shows. */
+  /** SIGTERM, then SIGKILL after the stop timeout; the result contains the exit code or signal. */
   async terminate(): Promise<ProcessEnd> {
     this.thaw();
     this.#child?.kill('SIGTERM');
@@ -115,12 +115,12 @@
     return end;
   }
 
-  #notReadyYet(late: boolean): LabError | undefined {
+  #readyError(late: boolean): LabError | undefined {
     const { instance, dataCentre } = this.slot;
     const where = `router ${dataCentre}/${instance}; see ${this.logFile}`;
     if (this.#state === 'stopped') {
-      const said = lastLine(this.logFile);
-      return new LabError('ended-early', `${where}: it has ended; its last line: ${said}`);
+      const line = lastLine(this.logFile);
+      return new LabError('ended-early', `${where}: it has ended; its last line: ${line}`);
     }
     return late ? new LabError('not-ready', `${where}: /readyz does not answer 200`) : undefined;
   }
--- a/packages/lab/src/node/fleetRunner/sourceAddress.ts
+++ b/packages/lab/src/node/fleetRunner/sourceAddress.ts
@@ -1,6 +1,7 @@
 /**
- * Loaded into a router process by `--import`, with `?address=...`: its outgoing HTTP connections
- * then come from that loopback address, by which relays tell the data centres apart.
+ * Loaded into a router process with `--import ...?address=ADDRESS`. Outgoing HTTP connections of the
+ * process then use that loopback address as their source, so that relays can identify its data
+ * centre.
  */
 
 import { Agent } from 'node:http';
@@ -9,8 +10,8 @@
 
 const localAddress = new URL(import.meta.url).searchParams.get('address') ?? undefined;
 const prototype = Agent.prototype as unknown as { createConnection: CreateConnection };
-const connect = prototype.createConnection;
+const originalCreateConnection = prototype.createConnection;
 
 prototype.createConnection = function createFromAddress(options, ...rest) {
-  return connect.call(this, { ...options, localAddress }, ...rest);
+  return originalCreateConnection.call(this, { ...options, localAddress }, ...rest);
 };
--- a/packages/lab/src/node/httpStandIn.ts
+++ b/packages/lab/src/node/httpStandIn.ts
@@ -1,4 +1,4 @@
-/** Base of the backend server stand-ins: an HTTP server that can crash and come back. */
+/** Base class of the backend server stand-ins: an HTTP server that can crash and restart. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -7,7 +7,7 @@
 
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
 
-/** An HTTP server with the life of a backend server. */
+/** An HTTP server that can be started, crashed, restarted and stopped. */
 export abstract class HttpStandIn {
   readonly #host: string;
   readonly #onCrash: (() => void) | undefined;
@@ -31,10 +31,10 @@
 
   protected abstract handle(req: IncomingMessage, res: ServerResponse): Promise<void>;
 
-  /** Drops what the server held in memory. */
+  /** Clears the in-memory state of the server. */
   protected abstract reset(): void;
 
-  /** Listens; after a crash on the port from before. */
+  /** Starts to listen; after a crash, on the same port as before. */
   async start(): Promise<void> {
     const server = createServer((req, res) => {
       this.handle(req, res).catch((err: unknown) => {
@@ -53,7 +53,7 @@
     this.#server = server;
   }
 
-  /** Ends at once, with every request in progress, as a process that died. */
+  /** Simulates a crash: closes the server and all connections immediately. */
   crash(): void {
     this.#onCrash?.();
     this.#server?.close();
@@ -62,7 +62,7 @@
     this.reset();
   }
 
-  /** Ends for good. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     const server = this.#server;
     this.#server = undefined;
@@ -75,7 +75,7 @@
   }
 }
 
-/** Reads a request's body as text; rejects when it is larger than 4 MiB or cut off. */
+/** Reads a request's body as text; rejects if it is larger than 4 MiB or incomplete. */
 export async function readBody(req: IncomingMessage): Promise<string> {
   const parts: Buffer[] = [];
   let size = 0;
@@ -87,7 +87,7 @@
   return Buffer.concat(parts).toString('utf8');
 }
 
-/** Sends a JSON answer; does nothing when the caller has gone. */
+/** Sends a JSON response; does nothing if the caller has disconnected or headers were sent. */
 export function sendJson(
   res: ServerResponse,
   status: number,
@@ -99,7 +99,7 @@
   res.end(JSON.stringify(body));
 }
 
-/** Reads fault switches; throws a sentence that names a switch which does not exist. */
+/** Parses fault switches; throws a `RangeError` that names an unknown switch. */
 export function parseSwitches<T extends object>(text: string, known: T): Partial<T> {
   const switches = JSON.parse(text) as Partial<T>;
   const unknown = Object.keys(switches).find((name) => !(name in known));
@@ -107,7 +107,7 @@
   throw new RangeError(`no switch "${unknown}"; use one of ${Object.keys(known).join(', ')}`);
 }
 
-/** Path and query of a request. */
+/** URL of a request; only path and query are meaningful. */
 export function requestUrl(req: IncomingMessage): URL {
   return new URL(req.url ?? '/', 'http://stand-in');
 }
--- a/packages/lab/src/node/labCommand/demoCommand.ts
+++ b/packages/lab/src/node/labCommand/demoCommand.ts
@@ -1,4 +1,4 @@
-/** `demo`: runs a deployment and prints what came of it. */
+/** `demo`: runs a deployment and prints its figures. */
 
 import type { DemoResult } from '../../types/demo.js';
 import { mkdir, mkdtemp, writeFile } from 'node:fs/promises';
@@ -27,9 +27,9 @@
     json: option({
       type: optional(string),
       long: 'json',
-      description: 'file for the figures, which `npm run report` can show',
+      description: 'output file for the figures; `npm run report` renders it',
     }),
-    keep: flag({ long: 'keep', description: 'leaves everything running until Ctrl-C' }),
+    keep: flag({ long: 'keep', description: 'keeps the deployment running until Ctrl-C' }),
   },
   handler: async ({ json, ...options }) => {
     const abort = new AbortController();
--- a/packages/lab/src/node/labCommand/main.ts
+++ b/packages/lab/src/node/labCommand/main.ts
@@ -1,4 +1,4 @@
-/** The lab's command: demo, measure, prove, mutants, report. */
+/** The lab's command line: demo, measure, prove, mutants, report. */
 
 import type { Measure } from './measures.js';
 import { describeError } from '@flamingocourse/kernel';
@@ -28,7 +28,11 @@
 
 const loadArgs = {
   seconds: option({ type: optional(number), long: 'seconds' }),
-  only: option({ type: optional(string), long: 'only', description: 'the one scenario to run' }),
+  only: option({
+    type: optional(string),
+    long: 'only',
+    description: 'name of the only scenario to run',
+  }),
 };
 
 interface CommonArgs {
@@ -47,7 +51,7 @@
 
 const mutantsCommand = command({
   name: 'mutants',
-  description: 'checks that each broken rule is caught',
+  description: 'checks that every mutant of the rules is detected',
   args: commonArgs,
   handler: (args) => runMeasure('mutants', mutants, args),
 });
@@ -88,6 +92,6 @@
   process.stderr.write(`${describeError(err)}\n`);
   process.exitCode = EXIT_FAILED;
 }
-// Node 20 can spin for ever while it cleans up the handles of ended child processes; leaving at once
-// skips that. Everything that was started has been stopped by now.
+// Node 20 can loop forever while it cleans up the handles of exited child processes; process.exit()
+// skips that. All processes and servers have been stopped by now.
 process.exit();
--- a/packages/lab/src/node/labCommand/measures.ts
+++ b/packages/lab/src/node/labCommand/measures.ts
@@ -1,4 +1,4 @@
-/** Measurements and proofs by name; each resolves to the exit code. */
+/** Measurements by name, and the mutants check; each resolves to the exit code. */
 
 import { mkdir, writeFile } from 'node:fs/promises';
 import { dirname } from 'node:path';
@@ -9,25 +9,25 @@
 import { createCapacityReport, measureSlopes } from '../capacity/index.js';
 import { renderText } from '../report/index.js';
 
-/** What a measurement is given from the command line. */
+/** Options of a measurement, from the command line. */
 export interface MeasureOptions {
-  /** Seeds start here, for measurements with several. */
+  /** The seed, or the first one of a measurement that uses several. */
   seed: number;
-  /** File for the raw figures. */
+  /** Output file for the raw figures. */
   json?: string;
-  /** Length of the load, for measurements that run in real time. */
+  /** Duration of the load in seconds, for measurements that run in real time. */
   seconds?: number;
-  /** Name of the one scenario to run. */
+  /** Name of the only scenario to run. */
   only?: string;
 }
 
 /** A named measurement. */
 export type Measure = (options: MeasureOptions) => Promise<number>;
 
-/** Seeds of one run of the routing measurement. */
+/** Number of seeds in one run of the routing measurement. */
 const ROUTING_SEEDS = 3;
 
-/** Load of one scenario of the budget measurement, in seconds. */
+/** Duration of the load in one scenario of the budget measurement, in seconds. */
 const BUDGET_SECONDS = 24;
 
 /** `npm run measure -- NAME`. */
@@ -38,10 +38,10 @@
   config: measureConfig,
 };
 
-/** `npm run mutants`: fails if a broken rule goes unnoticed. */
-export const mutants: Measure | undefined = measureMutants;
+/** `npm run mutants`: fails if a mutant of the rules is not detected. */
+export const mutants: Measure | undefined = checkMutants;
 
-async function measureMutants({ json }: MeasureOptions): Promise<number> {
+async function checkMutants({ json }: MeasureOptions): Promise<number> {
   const report = runMutants();
   process.stdout.write(`${renderMutants(report)}\n`);
   if (json !== undefined) await writeResult(json, report);
--- a/packages/lab/src/node/labCommand/proveCommand.ts
+++ b/packages/lab/src/node/labCommand/proveCommand.ts
@@ -15,11 +15,15 @@
   description: 'checks the eight promises with real router processes under faults',
   args: {
     seed: option({ type: number, long: 'seed', defaultValue: () => 1 }),
-    json: option({ type: optional(string), long: 'json', description: 'file for the figures' }),
+    json: option({
+      type: optional(string),
+      long: 'json',
+      description: 'output file for the figures',
+    }),
     only: option({
       type: optional(number),
       long: 'only',
-      description: 'number of the one promise to check, 1 to 8',
+      description: 'number of the only promise to check, 1 to 8',
     }),
   },
   handler: async ({ seed, json, only }) => {
--- a/packages/lab/src/node/labCommand/reportCommand.ts
+++ b/packages/lab/src/node/labCommand/reportCommand.ts
@@ -1,4 +1,4 @@
-/** `report`: one page with charts, and tables on the terminal, from the files of earlier runs. */
+/** `report`: renders result files of earlier runs as an HTML page with charts and as text tables. */
 
 import { mkdir, readdir, writeFile } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
@@ -22,7 +22,9 @@
   handler: async ({ files, html }) => {
     const sources = files.length > 0 ? files : await findResults();
     if (sources.length === 0) {
-      process.stderr.write(`no result in ${REPORT_DIRECTORY}/; make one with demo --json FILE\n`);
+      process.stderr.write(
+        `no result files in ${REPORT_DIRECTORY}/; create one with demo --json FILE\n`,
+      );
       return EXIT_USAGE;
     }
     const documents = await Promise.all(sources.map(readReport));
--- a/packages/lab/src/node/link/breakConnection.ts
+++ b/packages/lab/src/node/link/breakConnection.ts
@@ -1,9 +1,9 @@
 import type { Socket } from 'node:net';
 
 /**
- * Breaks a connection with a reset where the runtime can send one. While its own end is still on its way
- * a reset is refused (EINVAL), the connection then stays open for good, and the process spins at its end
- * waiting for it; such a connection is closed instead.
+ * Closes a connection with a TCP reset if the runtime can send one. While the end of the local side
+ * is still pending, a reset fails with EINVAL: the connection then stays open for good, and the
+ * process loops at its exit waiting for it. Such a connection is destroyed instead.
  *
  * @example
  * breakConnection(socket);
--- a/packages/lab/src/node/link/link.ts
+++ b/packages/lab/src/node/link/link.ts
@@ -1,13 +1,13 @@
-/** TCP relay between two data centres, so that a network partition can be made on loopback. */
+/** TCP relay that simulates latency and network partitions on loopback. */
 
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
 import { breakConnection } from './breakConnection.js';
 
-/** How a cut shows to both ends. */
+/** Effect of a cut on both ends of a connection; `none` means no cut. */
 export type CutMode = 'none' | 'silent' | 'reset';
 
-/** Where a link leads. */
+/** Address that a link forwards to. */
 export interface LinkTarget {
   host: string;
   port: number;
@@ -15,42 +15,42 @@
 
 /** Options of a link. */
 export interface LinkOptions {
-  /** Address that the link leads to; a function when it is not known yet. */
+  /** Address that the link forwards to; a function if it is not known yet. */
   target: LinkTarget | (() => LinkTarget);
-  /** Port to listen on; 0 takes a free one. @default 0 */
+  /** Port to listen on; 0 chooses a free one. @default 0 */
   port?: number;
   /** @default '127.0.0.1' */
   host?: string;
-  /** Milliseconds that bytes take one way. @default 0 */
+  /** One-way latency in milliseconds. @default 0 */
   latencyMs?: number;
 }
 
 /** A running relay. */
 export interface Link {
-  /** `http://host:port` of the near end. */
+  /** `http://host:port` that the link listens on. */
   url: string;
   port: number;
   /**
-   * `silent` drops all bytes; `reset` breaks connections and refuses new ones. With `from`, only for
-   * connections from that IP address, so that a link in front of one instance can be cut for one
-   * data centre, where each data centre has a loopback address of its own.
+   * Cuts connections, or ends the cut with `none`. `silent` drops all bytes; `reset` resets open and
+   * new connections. With `from`, applies only to connections from that IP address: where each data
+   * centre has its own loopback address, this cuts one data centre off from one instance.
    */
   setCut(mode: CutMode, from?: string): void;
   setLatency(latencyMs: number): void;
   close(): Promise<void>;
 }
 
-/** Most bytes under way in one direction of a connection before the sender is paused. */
-const maxBytesUnderWay = 4 * 1024 * 1024;
+/** Maximum bytes in flight in one direction of a connection before the sender is paused. */
+const maxBytesInFlight = 4 * 1024 * 1024;
 
-/** Cut of all sources that have none of their own. */
+/** Key of the cut that applies to sources without their own entry. */
 const anySource = 'any';
 
 interface LinkState {
-  /** By source address. */
+  /** Cut by source address. */
   cuts: Map<string, CutMode>;
   latencyMs: number;
-  /** Open sockets with the source address of their connection. */
+  /** Source address of the connection, by open socket. */
   sockets: Map<Socket, string>;
 }
 
@@ -83,7 +83,7 @@
       state.latencyMs = latencyMs;
     },
     close: () => {
-      breakWhere(state, () => true);
+      breakMatching(state, () => true);
       return new Promise((resolve) => {
         server.close(() => {
           resolve();
@@ -98,9 +98,9 @@
     [...state.sockets].map(([socket, source]) => [socket, cutOf(state, source)]),
   );
   state.cuts.set(from, mode);
-  // connections that lost bytes in a silent cut are of no more use when it ends: a real one would
-  // have dropped them after its retransmissions, so they are broken here.
-  breakWhere(state, (socket, source) => {
+  // Connections that lost bytes in a silent cut are unusable when it ends. In a real partition, TCP
+  // would drop them after its retransmissions, so they are reset here.
+  breakMatching(state, (socket, source) => {
     const now = cutOf(state, source);
     return now === 'reset' || (before.get(socket) === 'silent' && now === 'none');
   });
@@ -118,7 +118,7 @@
     breakConnection(near);
     return;
   }
-  // during a silent cut the connection is taken and leads nowhere.
+  // During a silent cut, the connection is accepted but not forwarded.
   if (cut === 'silent') return;
   const far = connect(target.port, target.host);
   track(far, source, state);
@@ -137,42 +137,42 @@
 }
 
 function relay(from: Socket, to: Socket, state: LinkState, isOpen: () => boolean): void {
-  const inOrder = createDelayLine(state);
-  let underWay = 0;
+  const delayed = createDelayLine(state);
+  let bytesInFlight = 0;
   from.on('data', (bytes: Buffer) => {
     if (!isOpen()) return;
-    underWay += bytes.length;
-    if (underWay > maxBytesUnderWay) from.pause();
-    inOrder(() => {
+    bytesInFlight += bytes.length;
+    if (bytesInFlight > maxBytesInFlight) from.pause();
+    delayed(() => {
       if (to.destroyed) return;
       to.write(bytes, () => {
-        underWay -= bytes.length;
-        if (underWay <= maxBytesUnderWay) from.resume();
+        bytesInFlight -= bytes.length;
+        if (bytesInFlight <= maxBytesInFlight) from.resume();
       });
     });
   });
   from.on('end', () => {
-    if (isOpen()) inOrder(() => to.end());
+    if (isOpen()) delayed(() => to.end());
   });
   from.on('close', () => {
-    if (isOpen()) inOrder(() => to.destroy());
+    if (isOpen()) delayed(() => to.destroy());
   });
 }
 
-/** Runs steps after the link's latency, in their order also when the latency changes meanwhile. */
+/** Runs steps after the link's latency, in order even if the latency changes in the meantime. */
 function createDelayLine(state: LinkState): (step: () => void) => void {
-  const waiting: (() => void)[] = [];
+  const pending: (() => void)[] = [];
   return (step) => {
-    if (state.latencyMs === 0 && waiting.length === 0) {
+    if (state.latencyMs === 0 && pending.length === 0) {
       step();
       return;
     }
-    waiting.push(step);
-    setTimeout(() => waiting.shift()?.(), state.latencyMs);
+    pending.push(step);
+    setTimeout(() => pending.shift()?.(), state.latencyMs);
   };
 }
 
-function breakWhere(
+function breakMatching(
   state: LinkState,
   condition: (socket: Socket, source: string) => boolean,
 ): void {
--- a/packages/lab/src/node/network/network.ts
+++ b/packages/lab/src/node/network/network.ts
@@ -1,12 +1,12 @@
 /**
- * Relays between data centres. Each data centre calls from a loopback address of its own, so a
- * relay in front of one instance can be cut for callers of one data centre only.
+ * Relays between data centres. Each data centre connects from its own loopback address, so a relay
+ * in front of an instance can cut the connections from one data centre only.
  */
 
 import type { CutMode, Link } from '../link/index.js';
 import { createLink } from '../link/index.js';
 
-/** Loopback addresses of the data centres, by their order. */
+/** Prefix of the loopback addresses of the data centres; the last byte is the position from 1. */
 const ADDRESS_PREFIX = '127.0.1.';
 
 interface Relay {
@@ -16,7 +16,7 @@
 }
 
 /**
- * The network of a fleet on loopback. Calls inside a data centre are never cut.
+ * The network of a fleet on loopback. Connections inside a data centre are never cut.
  *
  * @example
  * const network = new Network(['dc-a', 'dc-b']);
@@ -31,12 +31,15 @@
     this.#dataCentres = dataCentres;
   }
 
-  /** Address from which instances of a data centre call. */
+  /** Source address of connections from instances of a data centre. */
   sourceAddress(dataCentre: string): string {
     return `${ADDRESS_PREFIX}${this.#dataCentres.indexOf(dataCentre) + 1}`;
   }
 
-  /** Puts a relay in front of an instance and returns its URL; without a data centre, the platform. */
+  /**
+   * Starts a relay in front of an instance, or of the platform if `dataCentre` is absent, and returns
+   * its URL.
+   */
   async relay(url: string, dataCentre?: string): Promise<string> {
     const { hostname, port } = new URL(url);
     const link = await createLink({ target: { host: hostname, port: Number(port) } });
@@ -44,7 +47,7 @@
     return link.url;
   }
 
-  /** Cuts a data centre off from the others and from the platform, in both directions. */
+  /** Partitions a data centre from the others and from the platform, in both directions. */
   cut(dataCentre: string, mode: CutMode = 'silent'): void {
     const others = this.#dataCentres.filter((name) => name !== dataCentre);
     for (const relay of this.#relays) {
@@ -53,7 +56,7 @@
     }
   }
 
-  /** Ends the cut of a data centre. */
+  /** Ends the partition of a data centre. */
   heal(dataCentre: string): void {
     this.cut(dataCentre, 'none');
   }
--- a/packages/lab/src/node/report/renderReport.ts
+++ b/packages/lab/src/node/report/renderReport.ts
@@ -1,4 +1,4 @@
-/** Turns the JSON files of runs into one self-contained page with charts, and into text tables. */
+/** Renders the JSON files of runs as one self-contained HTML page with charts or as text tables. */
 
 import type { ReportChart, ReportDocument, ReportTable } from '../../types/report.js';
 import { readFile } from 'node:fs/promises';
@@ -18,7 +18,7 @@
 const reportFileSchema = z.object({ report: reportDocumentSchema });
 
 /**
- * Renders the page.
+ * Renders result files as one HTML page.
  *
  * @example
  * await writeFile('report.html', await renderReport(['reports/demo.json']));
@@ -27,17 +27,17 @@
   return renderHtml(await Promise.all(jsonFiles.map(readReport)));
 }
 
-/** Reads the document of one file; throws `bad-report` with the place that does not fit. */
+/** Reads the report of one file; throws `bad-report`, whose cause names the invalid field. */
 export async function readReport(file: string): Promise<ReportDocument> {
   try {
     return reportFileSchema.parse(JSON.parse(await readFile(file, 'utf8'))).report;
   } catch (err) {
-    const message = `${file} is no result of a run; make it with --json`;
+    const message = `${file} is not a result file; make it with --json`;
     throw new LabError('bad-report', message, { cause: err });
   }
 }
 
-/** Renders documents as one page without outside parts. */
+/** Renders documents as one page without external resources. */
 export function renderHtml(documents: readonly ReportDocument[]): string {
   const sections = documents.map(renderSection).join('\n');
   return (
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -66,7 +66,10 @@
   return first.startsWith(SOMETIMES) ? first.slice(SOMETIMES.length) : first;
 }
 
-/** Names of passed and failed tests in a TAP report. A group that fails only because of its tests is not counted. */
+/**
+ * Names of passed and failed tests in a TAP report. A group that fails only because one of its tests
+ * failed is not counted.
+ */
 function readResults(file) {
   const passed = new Set();
   const failed = new Set();
--- a/test/compat/checkGateways.ts
+++ b/test/compat/checkGateways.ts
@@ -24,8 +24,9 @@
 const INSTANCES = 12;
 const PORTS_PER_INSTANCE = 3;
 const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'];
-/** Accounts that are charged during the load, and accounts that send the request that crashes servers. */
+/** Accounts whose calls make up the load. */
 const SPENDING = ['kirk', 'spock'];
+/** Accounts that send the request that crashes servers. */
 const CRASHING = ['uhura', 'sulu'];
 /** Tokens of each account; the calls of a run exceed them. */
 const LIMIT = 120_000;
@@ -125,7 +126,7 @@
     }
   }
 
-  /** Sends a request that crashes servers through one build; the other build must then refuse it. */
+  /** Sends a request that crashes servers through one build; the other build must refuse it. */
   async crash(account: string, through: Build, other: Build): Promise<void> {
     const senders = this.#instancesOf(through);
     const crashes = new SoakCrashes(this.engines, senders, account, createRandom(SEED));
--- a/test/lab/capacity.test.ts
+++ b/test/lab/capacity.test.ts
@@ -18,7 +18,7 @@
   workOutCapacity,
 } from '@flamingocourse/lab';
 
-/** Every line that the model asks for, with one cost for each of its drivers. */
+/** Every cost line that the model uses, with its drivers. */
 const modelLines: Record<string, string[]> = {
   'router.cpu': ['requests', 'tokens'],
   'router.streams': ['streams'],
@@ -52,7 +52,7 @@
   Object.entries(modelLines).map(([name, drivers]) => [name, lineOf(name, drivers)]),
 );
 
-describe('a cost line goes through its points', () => {
+describe('a cost line passes through its points', () => {
   const cases: { title: string; drivers: string[]; points: CostPoint[]; fixed: number }[] = [
     {
       title: 'one driver',
@@ -84,8 +84,8 @@
   }
 });
 
-// a slope from two points, or from runs that never varied a driver, looks like any other in the
-// tables; the page would then state a figure that nothing measured.
+// A slope from two points, or from runs that never varied a driver, looks like any other one in the
+// tables. The page would then state a figure that was never measured.
 describe('a line that its points do not determine is refused', () => {
   const cases: { title: string; drivers: string[]; points: CostPoint[] }[] = [
     { title: 'two points', drivers: ['n'], points: [1, 2].map((n) => ({ at: { n }, cost: n })) },
@@ -108,25 +108,25 @@
   }
 });
 
-test('a line says how far it is drawn out, by its most stretched driver', () => {
+test('the extrapolation of a line follows its most extrapolated driver', () => {
   const line = { ...lineOf('x', ['nodes', 'objects']), measuredTo: { nodes: 128, objects: 2_200 } };
   const far = extrapolation(new Map([['x', line]]), 'x', { nodes: 2_816, objects: 100 });
   assert.equal(far, 22);
   assert.equal(extrapolation(new Map([['x', line]]), 'x', { nodes: 8, objects: 100 }), 1);
 });
 
-test('the middle of a few values', () => {
+test('median of a few values', () => {
   assert.equal(median([9, 1, 5]), 5);
   assert.equal(median([1, 2, 4, 100]), 3);
 });
 
-test('a size is spread over its nodes and data centres', () => {
+test('a fleet size is divided by its nodes and data centres', () => {
   const shares = sharesOf(targetSize);
   assert.equal(Math.round(shares.nodesPerCentre), 127);
   assert.equal(Math.round(shares.streamsPerNode), 206);
 });
 
-test('costs that grow with the fleet do, and breaks come worst first', () => {
+test('costs grow with the fleet, and breaks are sorted with the worst first', () => {
   const half: FleetSize = { ...targetSize, nodes: 1_400, requestsPerSecond: 25_500 };
   const costOf = (size: FleetSize, mechanism: string): number =>
     workOutCapacity(lines, size).find((row) => row.mechanism === mechanism)?.cost ?? NaN;
@@ -145,7 +145,7 @@
   assert.deepEqual(findBreaks([row]), []);
 });
 
-test('the reports of capacity and routing can be shown', () => {
+test('the reports of capacity and routing match the report schema', () => {
   assert.equal(reportDocumentSchema.parse(createCapacityReport(lines, 1)).tables.length, 4);
   const times = { targetMet: 0.5, p50: 1, p95: 2, p99: 3, refusals: {} };
   const item = { workClass: 'drafts', offered: 10, answered: 9, ...times };
@@ -155,7 +155,7 @@
   assert.deepEqual(report.tables[1]?.rows, [['chosen', 'drafts', 50, 90, 1, 2, 3, 1]]);
 });
 
-test('usage is read from this process and refused where there is none', async () => {
+test('usage is read for this process and rejected for an unknown process id', async () => {
   const { cpuMs, residentBytes } = await readProcessUsage(process.pid);
   assert.ok(cpuMs > 0 && residentBytes > 1_000_000);
   await assert.rejects(readProcessUsage(2 ** 30), { code: 'no-usage' });
--- a/test/lab/demo.test.ts
+++ b/test/lab/demo.test.ts
@@ -28,8 +28,8 @@
   await post('ledgers', '0', { page: 0, accounts: { 'ger-shop': account } });
 }
 
-// a naive router gives whole answers and bills nothing: the demo must call that broken, or it would
-// also pass a real router that forgets bills.
+// The naive router returns complete answers and bills nothing. If the demo did not report that, it
+// would also accept a real router that loses bills.
 test('the demo runs a deployment and finds that a naive router bills nothing', async (t) => {
   const directory = await mkdtemp(join(tmpdir(), 'lab-demo-'));
   t.after(() => rm(directory, { recursive: true }));
--- a/test/lab/demoReport.test.ts
+++ b/test/lab/demoReport.test.ts
@@ -46,7 +46,7 @@
   entries: { doubled: [], lost: [], falselyNotRun: [] },
 };
 
-// a demo that ends with success while an answer was cut or a budget was passed would prove nothing.
+// Guards against a demo that succeeds although an answer was cut or a budget was exceeded.
 const violationCases: { name: string; change: Partial<typeof figures>; found: RegExp | null }[] = [
   { name: 'a clean run', change: {}, found: null },
   { name: 'a cut answer', change: { load: { ...figures.load, cut: 1 } }, found: /complete/ },
@@ -78,8 +78,8 @@
 
 const spendCases = [
   { name: 'within budget', spent: 60, grantedIn: 100, over: false },
-  { name: 'spent past the budget', spent: 101, grantedIn: 100, over: true },
-  { name: 'handed out past the budget', spent: 0, grantedIn: 101, over: true },
+  { name: 'with spending above the budget', spent: 101, grantedIn: 100, over: true },
+  { name: 'with grants above the budget', spent: 0, grantedIn: 101, over: true },
 ];
 for (const { name, spent, grantedIn, over } of spendCases) {
   test(`an account ${name} is ${over ? 'over' : 'not over'}`, () => {
--- a/test/lab/engineClient.ts
+++ b/test/lab/engineClient.ts
@@ -1,9 +1,9 @@
-/** Reads the engine stand-in's streams in tests. */
+/** Test client that reads the streams of the engine stand-in. */
 
 import type { PromptMessage } from '@flamingocourse/lab';
 import { createParser } from 'eventsource-parser';
 
-/** What a caller saw of one stream. */
+/** What a caller received of one stream. */
 export interface SeenStream {
   tokens: string[];
   ids: string[];
@@ -21,11 +21,11 @@
 export interface ReadOptions {
   body?: Record<string, unknown>;
   requestId?: string;
-  /** Hangs up after this many tokens. */
+  /** Aborts the request after this many tokens. */
   stopAfter?: number;
 }
 
-/** Asks for a stream and reads it until it ends, breaks or has enough tokens. */
+/** Requests a stream and reads it until it ends, breaks off or reaches `stopAfter` tokens. */
 export async function readStream(
   url: string,
   messages: PromptMessage[],
@@ -56,12 +56,12 @@
     const parts = (res.body ?? []) as AsyncIterable<Uint8Array>;
     for await (const part of parts) parser.feed(decoder.decode(part, { stream: true }));
   } catch {
-    // a broken or aborted stream shows as `done` being false
+    // A broken or aborted stream leaves `done` false.
   }
   return seen;
 }
 
-/** Prompt of one user message. */
+/** Creates a prompt of one user message. */
 export function userPrompt(content: string): PromptMessage[] {
   return [{ role: 'user', content }];
 }
@@ -70,7 +70,8 @@
 export async function waitUntil(condition: () => boolean): Promise<void> {
   const end = Date.now() + 2_000;
   while (!condition()) {
-    if (Date.now() > end) throw new Error(`condition did not come true: ${String(condition)}`);
+    if (Date.now() > end)
+      throw new Error(`condition was not met within two seconds: ${String(condition)}`);
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
--- a/test/lab/engineStandIn.test.ts
+++ b/test/lab/engineStandIn.test.ts
@@ -51,9 +51,9 @@
   });
 }
 
-// a volunteer sees an answer with a word twice; a router resumed one token too early or with words
-// of another answer. The stand-in must not hide that by continuing as if nothing was wrong.
-test('a wrong splice is not continued with the words of the right answer', async () => {
+// A faulty router may resume a stream one token too early or with the words of another answer. The
+// stand-in must not hide that by continuing with the correct words.
+test('a wrong resumption is not continued with the words of the right answer', async () => {
   const engine = await startEngine();
   const messages = userPrompt('what is in stock words=12');
   const wrong = { role: 'assistant', content: expectedAnswer(userPrompt('other'), 0, 3) };
@@ -64,8 +64,8 @@
   assert.ok(tail.tokens.every((token) => !right.includes(token.trim())));
 });
 
-// a pilot waits although the field is quiet: callers who hung up still hold all slots.
-test('a caller that hangs up frees its slot', async () => {
+// If callers that disconnected kept their slots, an idle engine would let new callers wait.
+test('a caller that disconnects frees its slot', async () => {
   const engine = await startEngine({ slots: 1 });
   await readStream(engine.url, userPrompt('words=4000'), { stopAfter: 2 });
   await waitUntil(() => engine.runningRequests === 0);
@@ -104,20 +104,20 @@
   assert.equal(events.filter((event) => event.type === 'stored').length, 4);
 });
 
-// one caller's request kills each server that runs it; its neighbours lose their streams too.
-test('a marked request crashes the engine with its neighbours, and it comes back', async () => {
+// A request that crashes its server also breaks the other streams of that server.
+test('a marked request crashes the engine with all its streams, and it restarts', async () => {
   const engine = await startEngine({ restartAfterMs: 30 });
   const neighbour = readStream(engine.url, userPrompt('words=2000'));
   await waitUntil(() => engine.runningRequests === 1);
-  const poison = await readStream(engine.url, userPrompt('please crash-the-engine'));
-  assert.equal(poison.done, false);
+  const crashing = await readStream(engine.url, userPrompt('please crash-the-engine'));
+  assert.equal(crashing.done, false);
   assert.equal((await neighbour).done, false);
   await waitUntil(() => engine.running);
   assert.ok((await readStream(engine.url, userPrompt('again'))).done);
 });
 
-// a volunteer reads a word twice, or a word of another family's answer: the engine sent an event
-// again, or one of an attempt that is over. Only event number and id tell them apart.
+// The engine may send an event twice, or an event of an attempt that has ended. A caller would read a
+// word twice or a word of another answer. Only event number and id distinguish these events.
 const disturbances = [
   { fault: { duplicateChunks: 1 }, foreign: 0, repeated: 8 },
   { fault: { lateChunks: 1 }, foreign: 8, repeated: 0 },
@@ -171,7 +171,7 @@
   });
 }
 
-// as a process of its own the engine must really be gone after a crash, not only its connections.
+// When the engine runs as its own process, a crash must end the process, not only its connections.
 test('the engine process ends when a marked request runs', async () => {
   const main = fileURLToPath(
     new URL('../../packages/lab/src/node/engineStandIn/main.ts', import.meta.url),
--- a/test/lab/fakeRouter.ts
+++ b/test/lab/fakeRouter.ts
@@ -1,4 +1,4 @@
-/** A router that answers everything by itself, and wrongly where a test wants it. */
+/** A fake router that answers all requests itself, and wrongly if a test requests it. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -11,11 +11,11 @@
   tamper?: (words: string[]) => string[];
   /** How streams end. */
   end?: 'done' | 'error-event' | 'break';
-  /** Problem bodies of the first calls, one each. */
+  /** Refusal bodies for the first calls, one per call. */
   refusals?: object[];
 }
 
-/** What the fake was asked, by idempotency key. */
+/** A running fake router; `keys` are the idempotency keys of its requests, in order. */
 export interface FakeRouter {
   url: string;
   keys: string[];
--- a/test/lab/fleetRunner.test.ts
+++ b/test/lab/fleetRunner.test.ts
@@ -48,7 +48,7 @@
   }
 }
 
-test('each router has its own settings, and knows the others as seeds', async (t) => {
+test('each router has its own settings, with the others as seeds', async (t) => {
   const { fleet } = await startFleet(t);
   const res = await fetch(`${String(fleet.entryUrls[1])}/settings`);
   const { settings } = (await res.json()) as { settings: Record<string, Record<string, unknown>> };
@@ -58,7 +58,7 @@
   assert.deepEqual(settings.mesh.seeds, [fleet.routers[0]?.meshUrl]);
 });
 
-test('a killed router leaves the list and comes back on its address', async (t) => {
+test('a killed router leaves the instance list and restarts on its address', async (t) => {
   const { fleet, listed } = await startFleet(t);
   const [url = ''] = fleet.entryUrls;
   assert.equal((await fleet.kill(0)).signal, 'SIGKILL');
@@ -69,7 +69,7 @@
   assert.equal(await answers(url), true);
 });
 
-test('a frozen router answers nothing, is still listed, and goes on after the thaw', async (t) => {
+test('a frozen router does not answer, is still listed, and continues after a thaw', async (t) => {
   const { fleet, listed } = await startFleet(t);
   const [url = ''] = fleet.entryUrls;
   fleet.freeze(0);
--- a/test/lab/loadGenerator.test.ts
+++ b/test/lab/loadGenerator.test.ts
@@ -53,8 +53,8 @@
   return { result, keys: fake.keys };
 }
 
-// the check itself must fail when it should: a check that passes everything would hide every cut,
-// repeat, gap and mixed answer that a router could give.
+// Guards against a check that accepts everything: it would hide every cut, repeat, gap and mixed
+// answer of a router.
 const verdictCases = [
   { received: 'a.0 b.1 c.2 d.3', verdict: 'whole' },
   { received: 'a.0 b.1', verdict: 'cut' },
@@ -74,7 +74,7 @@
   });
 }
 
-// a router that gives wrong answers as complete ones: the run must count each of them.
+// A router returns wrong answers as complete ones; the run must count each of them.
 const tamperings: {
   name: string;
   tamper: (words: string[]) => string[];
@@ -106,7 +106,7 @@
   assert.ok(Object.values(result.entries).every((outcome) => outcome === 'entered'));
 });
 
-test('a caller waits for Retry-After and comes back with the same key', async () => {
+test('a caller waits for Retry-After and retries with the same key', async () => {
   const refusal = { reason: 'overloaded', run: 'not-run', retryAfterMs: 20 };
   const { result, keys } = await loadFake({ refusals: [refusal] }, [entry]);
   assert.equal(result.retries, 1);
@@ -114,7 +114,7 @@
   assert.equal(keys.length, new Set(keys).size + 1);
 });
 
-// a stream that stops without its final event is no answer; the caller asks again.
+// A stream without its final event is not an answer; the caller retries.
 const brokenEnds = [
   { end: 'break', broken: (result: LoadResult) => result.requests * 2, unanswered: true },
   { end: 'error-event', broken: () => 0, unanswered: false },
@@ -141,7 +141,8 @@
   assert.ok(Math.abs(largest - 1 / 2.083) < 0.05, `share of the largest account: ${largest}`);
 });
 
-// a family's bed is reserved twice, or not at all although it was promised.
+// Guards against an audit that misses an entry made twice, lost after its confirmation, or made
+// although the caller got the answer that it did not run.
 test('the audit finds doubled, lost and falsely refused entries', () => {
   const outcomes = { twice: 'entered', gone: 'entered', ran: 'not-run', fine: 'unknown' } as const;
   const runs = ['twice', 'twice', 'ran'].map((callerKey) => ({ callerKey }));
--- a/test/lab/plainServiceStandIn.test.ts
+++ b/test/lab/plainServiceStandIn.test.ts
@@ -30,8 +30,8 @@
   }
 }
 
-// a family's bed is reserved twice, or never: the reply of a call that ran was lost, or the
-// connection broke before the call ran, and the caller sees the same broken connection.
+// A caller sees the same broken connection whether it broke before the call ran or after. A wrong
+// guess runs the call twice or never, so the stand-in must produce and record both cases.
 const breakCases = [
   { breakAt: null, seen: 201, runs: 1 },
   { breakAt: 'before-run', seen: 'broken', runs: 0 },
@@ -69,7 +69,7 @@
   });
 });
 
-test('a leaving service refuses calls and says so', async () => {
+test('a leaving service refuses calls and fails its health check', async () => {
   const service = await startService();
   service.setFaults({ leaving: true });
   assert.equal(await reserve(service, 'late'), 503);
--- a/test/soak/runSoak.ts
+++ b/test/soak/runSoak.ts
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Sends calls continuously and injects overlapping faults; then stops the faults and checks the recovery. */
+  /** Sends calls continuously, injects overlapping faults, then checks the recovery. */
   async play(faultsMs: number): Promise<void> {
     const calling = setInterval(() => {
       this.callers.send();
@@ -254,7 +254,7 @@
         run: () => slow(random.pick(this.links.servers), forMs),
       },
       { name: 'a server fails', weight: 2, run: () => this.#misbehave(forMs) },
-      { name: 'a server rests', weight: 2, run: () => this.#requestPause(forMs) },
+      { name: 'a server requests a pause', weight: 2, run: () => this.#requestPause(forMs) },
       { name: 'a server leaves and starts again', weight: 1, run: () => this.#leave(forMs) },
       { name: 'a server limits requests', weight: 1, run: () => this.#limitRate(forMs) },
       { name: 'top-up', weight: 1, run: () => this.#topUp() },
@@ -293,7 +293,7 @@
     server.behaviour = usual;
   }
 
-  /** The server announces in its answers that it is leaving, then starts again as a new incarnation. */
+  /** The server announces that it is leaving, then starts again as a new incarnation. */
   async #leave(forMs: number): Promise<void> {
     const server = this.random.pick(this.servers);
     if (server.saysLeaving) return;
--- a/test/soak/soakPromises.ts
+++ b/test/soak/soakPromises.ts
@@ -1,4 +1,4 @@
-/** Checks what callers and servers observed against the promises, which hold under every fault. */
+/** Checks that callers and servers observed no broken promise, whatever fault occurred. */
 
 import type { RequestedPauseWindow, SeenRequest } from '../platform/fakeServer.js';
 import type { SeenAnswer } from './soakCallers.js';
