--- a/packages/lab/src/node/fleetRunner/routerProcess.ts
+++ b/packages/lab/src/node/fleetRunner/routerProcess.ts
@@ -91,7 +91,7 @@
     return this.#ended;
   }
 
-  /** SIGSTOP: suspends the process, which still assumes that it holds its tokens and leases. */
+  /** SIGSTOP: suspends the process, which still assumes that it holds its tokens. */
   freeze(): void {
     if (this.#state !== 'running') return;
     this.#child?.kill('SIGSTOP');
--- a/packages/lab/src/node/report/renderReport.ts
+++ b/packages/lab/src/node/report/renderReport.ts
@@ -27,7 +27,7 @@
   return renderHtml(await Promise.all(jsonFiles.map(readReport)));
 }
 
-/** Reads the report of one file; throws `bad-report`, whose cause names the invalid field. */
+/** Reads the report of one file; throws `bad-report`, whose cause gives the reason. */
 export async function readReport(file: string): Promise<ReportDocument> {
   try {
     return reportFileSchema.parse(JSON.parse(await readFile(file, 'utf8'))).report;
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,5 +1,5 @@
 // Bundles the process that runs on the users' machines into one file. Loading the modules one by one
-// would take more CPU time than all other work in the first second after a restart.
+// would take more CPU time than anything else in the first second after a restart.
 import { build } from 'esbuild';
 
 await build({
--- a/test/compat/checkGateways.ts
+++ b/test/compat/checkGateways.ts
@@ -28,7 +28,7 @@
 const SPENDING = ['kirk', 'spock'];
 /** Accounts that send the request that crashes servers. */
 const CRASHING = ['uhura', 'sulu'];
-/** Tokens of each account; the calls of a run exceed them. */
+/** Tokens of each account; the calls of a run need more in total. */
 const LIMIT = 120_000;
 const CALL_INTERVAL_MS = 20;
 const SINGLE_BUILD_MS = 3_000;
--- a/test/soak/runSoak.ts
+++ b/test/soak/runSoak.ts
@@ -28,7 +28,7 @@
 /** Milliseconds after the last fault until all instances must refuse such a request. */
 const LEARNING_MS = 3_000;
 const ACCOUNTS = ['kirk', 'spock'];
-/** Tokens of an account; the calls of a run exceed them. */
+/** Tokens of an account; the calls of a run need more in total. */
 const LIMIT = 60_000;
 const TOP_UP = 10_000;
 /** Ports of one instance: for callers, for readiness checks and for other instances. */
--- a/test/soak/soakCrashes.ts
+++ b/test/soak/soakCrashes.ts
@@ -47,7 +47,7 @@
     }, REPEAT_INTERVAL_MS);
   }
 
-  /** Starts the period without other faults. */
+  /** Marks the end of all other faults; requests sent from now on are counted. */
   markFaultsEnded(): void {
     this.#arrivedBefore = this.#arrived;
     this.#wasProven = this.engines.reduce((sum, { crashed }) => sum + crashed, 0) >= PROVEN_CRASHES;
@@ -57,7 +57,7 @@
     clearInterval(this.#timer);
   }
 
-  /** Promises broken in the period without other faults, one sentence each. */
+  /** Promises broken after the last fault, one sentence each. */
   get broken(): string[] {
     const sent = this.#arrived - this.#arrivedBefore;
     if (!this.#wasProven || sent <= MAX_SENT) return [];
