--- a/packages/router/src/node/entry/answerWriter.ts
+++ b/packages/router/src/node/entry/answerWriter.ts
@@ -1,4 +1,4 @@
-/** Writes an answer to one caller's connection, at that caller's own pace. */
+/** Writes an answer to one caller's connection, at the rate at which that caller reads. */
 
 import type { Refusal } from '@flamingocourse/core';
 import type { ServerResponse } from 'node:http';
@@ -9,19 +9,19 @@
 
 const MS_PER_SECOND = 1_000;
 const REQUEST_ID_HEADER = 'flamingocourse-request-id';
-/** A caller whose wait ended may ask again for the answer of a request that goes on, after this. */
+/** Delay before a retry, sent to a caller whose deadline passed while its request may still run. */
 const STILL_RUNNING_RETRY_MS = 500;
 
-/** Limits of one connection. */
+/** Limits for writing to one connection. */
 export interface WriterLimits {
-  /** Longest time that the caller may leave its answer unread, in milliseconds. */
+  /** Longest time that the caller may stop reading its answer, in milliseconds. */
   slowReaderMs: number;
   now: () => number;
 }
 
 /**
- * Sends the whole answer, or a refusal as soon as the caller's deadline has passed. The caller's
- * own slowness or disappearance never reaches the execution, except that it stops waiting for it.
+ * Writes the answer of an execution, or a refusal as soon as the caller's deadline has passed. A slow
+ * or disconnected caller does not affect the execution; it is only removed from the answer's readers.
  */
 export async function writeAnswer(
   request: CallerRequest,
@@ -33,15 +33,15 @@
   res.on('close', detach);
   try {
     const streaming = request.type === 'chat' && request.stream;
-    if (streaming) await streamChat(request, execution, res, limits);
-    else await sendWhole(request, execution, res, limits);
+    if (streaming) await streamAnswer(request, execution, res, limits);
+    else await writeWholeAnswer(request, execution, res, limits);
   } finally {
     detach();
   }
 }
 
-/** Writes a finished answer that no execution stands behind. */
-export function writeEnd(
+/** Writes a finished answer in one piece; does nothing if headers were sent or the caller is gone. */
+export function writeFinishedAnswer(
   request: CallerRequest,
   end: AnswerEnd,
   text: string,
@@ -63,7 +63,7 @@
     return;
   }
   if (request.type !== 'chat') return;
-  const body = JSON.stringify(wholeCompletion(request, requestId, text, end));
+  const body = JSON.stringify(chatCompletion(request, requestId, text, end));
   res.writeHead(200, {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
@@ -72,7 +72,7 @@
   res.end(body);
 }
 
-/** Writes a refusal as problem+json. */
+/** Writes a refusal as problem+json; does nothing if headers were sent or the caller is gone. */
 export function writeRefusal(res: ServerResponse, refusal: Refusal, requestId?: string): void {
   if (res.headersSent || res.destroyed) return;
   const body = JSON.stringify(toProblem(refusal, requestId));
@@ -86,7 +86,7 @@
   res.end(body);
 }
 
-async function sendWhole(
+async function writeWholeAnswer(
   request: CallerRequest,
   execution: Execution,
   res: ServerResponse,
@@ -97,14 +97,14 @@
     const inTime = await waitForMore(request, execution, answer.parts.length, limits);
     if (res.destroyed) return;
     if (!inTime) {
-      writeRefusal(res, giveUp(execution), answer.requestId);
+      writeRefusal(res, refuseAfterDeadline(execution), answer.requestId);
       return;
     }
   }
-  writeEnd(request, answer.end, answer.parts.join(''), answer.requestId, res);
+  writeFinishedAnswer(request, answer.end, answer.parts.join(''), answer.requestId, res);
 }
 
-async function streamChat(
+async function streamAnswer(
   request: ChatRequest,
   execution: Execution,
   res: ServerResponse,
@@ -116,7 +116,7 @@
     const inTime = await waitForMore(request, execution, sent, limits);
     if (res.destroyed) return;
     if (!inTime) {
-      endStreamWithRefusal(res, giveUp(execution), answer.requestId);
+      endStreamWithRefusal(res, refuseAfterDeadline(execution), answer.requestId);
       return;
     }
     if (sent === 0 && answer.end?.type === 'refused') {
@@ -127,7 +127,7 @@
     const parts = answer.parts.slice(sent);
     const events = parts.map((text, index) => deltaEvent(request, execution, sent + index, text));
     sent += parts.length;
-    if (!(await writeAtPace(res, events.join(''), limits.slowReaderMs))) return;
+    if (!(await writeWithBackpressure(res, events.join(''), limits.slowReaderMs))) return;
     if (answer.end && sent === answer.parts.length) {
       finishStream(request, execution, answer.end, res);
       return;
@@ -157,17 +157,18 @@
   }
   if (end.type !== 'chat') return;
   const { requestId } = execution.answer;
-  const last = chunk(request, requestId, [
+  const last = completionChunk(request, requestId, [
     { index: 0, delta: {}, finish_reason: end.finishReason },
   ]);
   res.write(dataEvent(last));
   if (request.includeUsage) {
-    res.write(dataEvent({ ...chunk(request, requestId, []), usage: usageOf(end.usage) }));
+    res.write(dataEvent({ ...completionChunk(request, requestId, []), usage: usageOf(end.usage) }));
   }
   res.end('data: [DONE]\n\n');
 }
 
-// an answer that ends without [DONE] is none; the error event says why and what to do.
+// a stream without [DONE] is not a complete answer; the error event carries the reason and whether
+// the request ran.
 function endStreamWithRefusal(res: ServerResponse, refusal: Refusal, requestId: string): void {
   if (!res.headersSent) {
     writeRefusal(res, refusal, requestId);
@@ -176,7 +177,7 @@
   res.end(`event: error\ndata: ${JSON.stringify(toProblem(refusal, requestId))}\n\n`);
 }
 
-/** Waits for more of the answer; false once the caller's deadline has passed. */
+/** Waits for parts after `seen` or for the end; false if the caller's deadline passes first. */
 async function waitForMore(
   request: CallerRequest,
   execution: Execution,
@@ -188,17 +189,17 @@
   const deadline = new Promise<false>((resolve) => {
     timer = setTimeout(resolve, Math.max(0, remaining), false);
   });
-  const more = execution.answer.beyond(seen).then(() => true);
+  const more = execution.answer.waitForMoreThan(seen).then(() => true);
   const inTime = await Promise.race([more, deadline]);
   clearTimeout(timer);
   return inTime;
 }
 
 /**
- * The caller's deadline has passed. A request that nobody else waits for and that has not been
- * dispatched is stopped first, so that "not run" is true when it is said.
+ * Builds the refusal for a caller whose deadline has passed. If no other caller waits for the request
+ * and it has not been dispatched, it is aborted first, so that a refusal as "not run" is correct.
  */
-function giveUp(execution: Execution): Refusal {
+function refuseAfterDeadline(execution: Execution): Refusal {
   if (!execution.dispatched && execution.answer.readers <= 1) {
     execution.abort.abort();
     return {
@@ -216,8 +217,8 @@
   };
 }
 
-/** Writes and waits until the caller has taken enough; false when it is gone or too slow. */
-async function writeAtPace(
+/** Writes and waits for the socket to drain; false if the caller disconnects or reads too slowly. */
+async function writeWithBackpressure(
   res: ServerResponse,
   text: string,
   slowReaderMs: number,
@@ -236,7 +237,8 @@
       settle(false);
     });
   });
-  // the memory behind an unread answer is bounded by cutting off the reader, not the engine.
+  // closing the slow reader's connection bounds the memory of unread output; the engine is not
+  // slowed down.
   if (!drained) res.destroy();
   return drained;
 }
@@ -249,14 +251,14 @@
 ): string {
   const delta = index === 0 ? { role: 'assistant', content: text } : { content: text };
   const choices = [{ index: 0, delta, finish_reason: null }];
-  return dataEvent(chunk(request, execution.answer.requestId, choices));
+  return dataEvent(completionChunk(request, execution.answer.requestId, choices));
 }
 
 function dataEvent(value: unknown): string {
   return `data: ${JSON.stringify(value)}\n\n`;
 }
 
-function chunk(request: ChatRequest, requestId: string, choices: unknown[]): object {
+function completionChunk(request: ChatRequest, requestId: string, choices: unknown[]): object {
   return {
     id: `chatcmpl-${requestId}`,
     object: 'chat.completion.chunk',
@@ -266,7 +268,7 @@
   };
 }
 
-function wholeCompletion(
+function chatCompletion(
   request: ChatRequest,
   requestId: string,
   text: string,
--- a/packages/router/src/node/entry/callerRequest.ts
+++ b/packages/router/src/node/entry/callerRequest.ts
@@ -1,4 +1,4 @@
-/** Turns an HTTP request of a caller into a checked, typed request. */
+/** Parses and validates a caller's HTTP request into a typed request. */
 
 import type {
   ClientAccountDeclaration,
@@ -33,25 +33,25 @@
   n: z.literal(1).nullish(),
 });
 
-/** Body of a chat-completions call; unknown fields are passed to the engine. */
+/** Body of a chat-completions call; unknown fields are passed on to the engine. */
 export type ChatBody = z.infer<typeof chatSchema>;
 
-/** How the caller names the request for retries. */
-export type RequestName =
+/** What the caller sent to identify retries of this request: nothing, a key or a ticket. */
+export type RequestIdentity =
   { type: 'none' } | { type: 'key'; keyDigest: string } | { type: 'ticket'; ticket: string };
 
-/** What every caller's request has. */
+/** Fields that every caller's request has. */
 export interface RequestBase {
   account: ClientAccountDeclaration;
   service: ServiceDeclaration;
   workClass: WorkClassDeclaration;
-  name: RequestName;
+  identity: RequestIdentity;
   /** Digest of method, path and body. */
   bodyDigest: string;
   idempotent: boolean;
   receivedAt: EpochMs;
   deadline: EpochMs;
-  /** Set when a peer passed the request on, which must not be passed on again. */
+  /** True if a peer forwarded the request; it must not be forwarded again. */
   forwarded: boolean;
 }
 
@@ -68,7 +68,7 @@
 export interface PlainRequest extends RequestBase {
   type: 'plain';
   method: string;
-  /** Path and query behind the service's name. */
+  /** Path and query after the service's name. */
   path: string;
   contentType: string | undefined;
   body: Buffer;
@@ -76,10 +76,10 @@
 
 export type CallerRequest = ChatRequest | PlainRequest;
 
-/** Name of the header by which a router marks a request that it passes on to the issuer. */
+/** Header that a router sets on a request that it forwards to the issuer of its ticket. */
 export const FORWARDED_HEADER = 'flamingocourse-forwarded';
 
-/** Finds the account of a request, or refuses. */
+/** Finds the account of a request by its API key, or refuses as `unauthenticated`. */
 export function authenticate(
   req: IncomingMessage,
   configuration: Configuration,
@@ -93,7 +93,7 @@
 }
 
 /**
- * Checks a caller's request against the configuration in force.
+ * Parses a caller's request and checks it against the current configuration.
  *
  * @example
  * const request = parseCallerRequest(req, body, configuration, clock.now());
@@ -181,19 +181,19 @@
 ): Result<RequestBase, Refusal> {
   const workClass = chooseClass(req, account, service, configuration);
   if (workClass.isErr) return Result.err(workClass.error);
-  const name = parseName(req, account);
-  if (name.isErr) return Result.err(name.error);
-  const allowance = parseDeadline(req, workClass.value);
-  if (allowance.isErr) return Result.err(allowance.error);
+  const identity = parseIdentity(req, account);
+  if (identity.isErr) return Result.err(identity.error);
+  const timeAllowed = parseDeadline(req, workClass.value);
+  if (timeAllowed.isErr) return Result.err(timeAllowed.error);
   return Result.ok({
     account,
     service,
     workClass: workClass.value,
-    name: name.value,
+    identity: identity.value,
     bodyDigest: digest(req.method ?? '', req.url ?? '', body),
     idempotent: workClass.value.idempotent,
     receivedAt: now,
-    deadline: now + allowance.value,
+    deadline: now + timeAllowed.value,
     forwarded: req.headers[FORWARDED_HEADER] !== undefined,
   });
 }
@@ -221,7 +221,7 @@
   );
 }
 
-// a request that names no class must not take the place of one that was declared as more important.
+// a request that names no class must not displace one that was declared as more important.
 function leastImportant(classes: WorkClassDeclaration[]): WorkClassDeclaration | undefined {
   const order = ['background', 'standard', 'first'] as const;
   for (const importance of order) {
@@ -231,10 +231,10 @@
   return undefined;
 }
 
-function parseName(
+function parseIdentity(
   req: IncomingMessage,
   account: ClientAccountDeclaration,
-): Result<RequestName, Refusal> {
+): Result<RequestIdentity, Refusal> {
   const ticket = headerOf(req, 'flamingocourse-ticket');
   const key = headerOf(req, 'idempotency-key');
   if (ticket !== undefined && key !== undefined) {
@@ -264,8 +264,8 @@
 }
 
 function outputLimit(body: ChatBody, workClass: WorkClassDeclaration): number {
-  const asked = body.max_completion_tokens ?? body.max_tokens ?? workClass.maxOutputTokens;
-  return Math.min(asked, workClass.maxOutputTokens);
+  const requested = body.max_completion_tokens ?? body.max_tokens ?? workClass.maxOutputTokens;
+  return Math.min(requested, workClass.maxOutputTokens);
 }
 
 function wantsUsage(body: ChatBody): boolean {
--- a/packages/router/src/node/entry/chatWork.ts
+++ b/packages/router/src/node/entry/chatWork.ts
@@ -1,8 +1,9 @@
 /**
- * A model call: streams from one engine, and resumes on another when it dies.
+ * A model call: streams from one engine and resumes on another engine if the first one fails.
  *
  * The text delivered so far is sent to the next engine as the start of the assistant's message, and
- * the output limit is lowered by it, so the caller sees one text without seam, repeat or gap.
+ * the output limit is reduced by the tokens delivered. The caller gets one continuous text with
+ * nothing repeated or missing.
  */
 
 import type { Tokens } from '@flamingocourse/core';
@@ -16,15 +17,18 @@
 import { runEngineAttempt } from '../backends/engineAttempt.js';
 import { backendFailed, outcomeUnknown, Work } from './work.js';
 
-/** A token covers at least one byte of UTF-8; templates add a few tokens a message. */
+/**
+ * Tokens that the chat template adds per message, for the upper bound of a prompt. A token covers at
+ * least one byte of UTF-8, so the bound counts bytes and adds a few template tokens per message.
+ */
 const TEMPLATE_TOKENS_PER_MESSAGE = 8;
-/** Customary estimate, used only when an engine was cut off before it reported its use. */
+/** Common estimate, used only if an engine's answer ended before it reported its usage. */
 const BYTES_PER_TOKEN_ESTIMATE = 4;
-/** Leading part of a prompt by which requests are sent to the same prompt cache. */
+/** Length of the prompt prefix; requests with the same prefix go to the same prompt cache. */
 const PREFIX_KEY_CHARACTERS = 256;
 const MIN_STALL_MS = 1_000;
 
-/** State of a model call across attempts. */
+/** Progress of a model call across attempts. */
 interface Progress {
   attempts: number;
   delivered: number;
@@ -34,7 +38,7 @@
 /** Runs a model call. */
 export class ChatWork extends Work<ChatRequest> {
   override worstCase(): Tokens {
-    return this.#promptBound() + this.request.maxTokens;
+    return this.#promptUpperBound() + this.request.maxTokens;
   }
 
   override async run(execution: Execution): Promise<WorkEnd> {
@@ -49,7 +53,7 @@
         return { type: 'refused', refusal };
       }
       const end = await this.#attempt(execution, placed.value, progress);
-      const workEnd = this.#judge(end, execution, progress);
+      const workEnd = this.#endOrRetry(end, execution, progress);
       if (workEnd) return workEnd;
     }
   }
@@ -86,11 +90,11 @@
     return end;
   }
 
-  /** Turns the end of an attempt into the end of the work, or undefined to try again. */
-  #judge(end: EngineEnd, execution: Execution, progress: Progress): WorkEnd | undefined {
+  /** Returns the end of the request after an attempt, or undefined if it is to be retried. */
+  #endOrRetry(end: EngineEnd, execution: Execution, progress: Progress): WorkEnd | undefined {
     switch (end.type) {
       case 'done':
-        return this.#whole(end, progress);
+        return this.#completed(end, progress);
       case 'cancelled':
         return this.#cancelled(execution, progress);
       case 'rejected':
@@ -105,8 +109,8 @@
         };
       case 'leaving':
       case 'not-sent':
-        // nothing ran: another server may take it, whatever the class says about idempotency.
-        if (this.#mayMoveOn(progress)) return undefined;
+        // nothing ran, so another server may run it even if its class is not idempotent.
+        if (this.#mayTryAnotherServer(progress)) return undefined;
         return {
           type: 'refused',
           refusal: backendFailed(describeEnd(end), progress.delivered > 0),
@@ -116,27 +120,27 @@
       case 'timed-out':
         break;
     }
-    // every token is out and only the final event was lost: there is nothing left to generate.
+    // all tokens were delivered and only the final event is missing: nothing is left to generate.
     if (progress.delivered >= this.request.maxTokens) {
-      return this.#whole({ type: 'done', finishReason: 'length' }, progress);
+      return this.#completed({ type: 'done', finishReason: 'length' }, progress);
     }
-    if (this.request.idempotent && this.#mayMoveOn(progress)) return undefined;
+    if (this.request.idempotent && this.#mayTryAnotherServer(progress)) return undefined;
     const refusal = this.request.idempotent
       ? backendFailed(describeEnd(end), true)
       : outcomeUnknown(describeEnd(end));
     return { type: 'refused', refusal };
   }
 
-  #mayMoveOn(progress: Progress): boolean {
+  #mayTryAnotherServer(progress: Progress): boolean {
     return this.mayRetry(progress.attempts) && this.remainingMs() > 1;
   }
 
-  #whole(end: EngineEnd & { type: 'done' }, progress: Progress): WorkEnd {
+  #completed(end: EngineEnd & { type: 'done' }, progress: Progress): WorkEnd {
     const completionTokens = progress.delivered;
     const reported = end.usage
       ? end.usage.promptTokens + end.usage.completionTokens - completionTokens
       : this.#promptEstimate();
-    const details = this.#details(Math.max(0, reported), completionTokens);
+    const details = this.#billDetails(Math.max(0, reported), completionTokens);
     return {
       type: 'whole',
       details,
@@ -152,13 +156,13 @@
     if (!execution.dispatched) return { type: 'cancelled' };
     return {
       type: 'cancelled',
-      details: this.#details(this.#promptEstimate(), progress.delivered),
+      details: this.#billDetails(this.#promptEstimate(), progress.delivered),
     };
   }
 
-  #details(promptTokens: Tokens, completionTokens: Tokens): BillDetails {
-    // a resumed attempt reports its template once more; the caller is told what is billed, and that
-    // is never more than was reserved.
+  #billDetails(promptTokens: Tokens, completionTokens: Tokens): BillDetails {
+    // a resumed attempt reports the template's tokens again. The usage sent to the caller is what is
+    // billed, which never exceeds the reservation.
     const cost = Math.min(this.worstCase(), promptTokens + completionTokens);
     const billedPrompt = cost - completionTokens;
     return {
@@ -185,7 +189,7 @@
     });
   }
 
-  #promptBound(): Tokens {
+  #promptUpperBound(): Tokens {
     return this.#promptBytes() + this.request.body.messages.length * TEMPLATE_TOKENS_PER_MESSAGE;
   }
 
--- a/packages/router/src/node/entry/entryServer.ts
+++ b/packages/router/src/node/entry/entryServer.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP listener. */
+/** HTTP listener for callers. */
 
 import type { Kernel } from '@flamingocourse/kernel';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -12,7 +12,7 @@
 import { Fleet } from '../../types/fleet.js';
 import { Money } from '../../types/money.js';
 import { notRun } from '../../utils/problem.js';
-import { writeAnswer, writeEnd, writeRefusal } from './answerWriter.js';
+import { writeAnswer, writeFinishedAnswer, writeRefusal } from './answerWriter.js';
 import { authenticate, parseCallerRequest } from './callerRequest.js';
 import { forwardRequest } from './forward.js';
 import { RequestRunner } from './requestRunner.js';
@@ -24,14 +24,14 @@
 const KEEP_ALIVE_MS = 30_000;
 const REQUEST_PATH = /^\/v1\/requests\/([^/?]+)$/;
 
-/** Listens for callers; registered as `entry`. */
+/** Accepts callers' HTTP requests; registered as `entry`. */
 export class EntryServer extends Service {
   override readonly name = 'entry';
   override readonly dependsOn = ['requests', 'configuration', 'fleet', 'money'];
 
   readonly #context: RouterContext;
-  /** Responses that have not been handed to the network in full. */
-  readonly #open = new Set<ServerResponse>();
+  /** Responses that are not closed yet. */
+  readonly #openResponses = new Set<ServerResponse>();
   #server: Server | undefined;
   #kernel!: Kernel;
   #requests!: RequestRunner;
@@ -71,15 +71,15 @@
     await listen(server, entry.host, entry.port);
   }
 
-  /** Refuses new requests at once, lets those in progress end, then closes the listener. */
+  /** Refuses new requests immediately, waits for those in progress, then closes the listener. */
   override async stop(): Promise<void> {
     const server = this.#server;
     if (!server) return;
     this.#requests.refuseNew();
     await this.#requests.stop();
-    await this.#flushed();
-    // what is left open are connections without a request, kept alive or just opened by callers;
-    // waiting for these would hold up the shutdown until they time out.
+    await this.#waitForOpenResponses();
+    // the remaining connections have no request: callers keep them alive or have just opened them.
+    // Waiting for them would delay the shutdown until they time out.
     await new Promise<void>((resolve) => {
       server.close(() => {
         resolve();
@@ -88,23 +88,25 @@
     });
   }
 
-  /** Port in use, for settings that ask for any free one. */
+  /** Port in use; differs from the setting if that is 0 (any free port). */
   get port(): number {
     return (this.#server?.address() as AddressInfo).port;
   }
 
   #track(res: ServerResponse): void {
-    this.#open.add(res);
-    res.once('close', () => this.#open.delete(res));
+    this.#openResponses.add(res);
+    res.once('close', () => this.#openResponses.delete(res));
   }
 
-  /** Waits until every answer is with its caller, or its caller is too slow to take it. */
-  async #flushed(): Promise<void> {
+  /** Waits until all responses are closed, for at most `slowReaderMs`. */
+  async #waitForOpenResponses(): Promise<void> {
     const { slowReaderMs } = this.#context.settings.entry;
     let timer: NodeJS.Timeout | undefined;
     const tooSlow = new Promise((resolve) => (timer = setTimeout(resolve, slowReaderMs)));
     const all = Promise.all(
-      [...this.#open].map((res) => new Promise<void>((resolve) => res.once('close', resolve))),
+      [...this.#openResponses].map(
+        (res) => new Promise<void>((resolve) => res.once('close', resolve)),
+      ),
     );
     await Promise.race([all, tooSlow]);
     clearTimeout(timer);
@@ -121,9 +123,9 @@
       sendJson(res, status.ready ? 200 : 503, status);
       return;
     }
-    const asked = REQUEST_PATH.exec(path)?.[1];
-    if (asked !== undefined) {
-      await this.#sendEnd(decodeURIComponent(asked), res);
+    const requestedTicket = REQUEST_PATH.exec(path)?.[1];
+    if (requestedTicket !== undefined) {
+      await this.#sendRequestState(decodeURIComponent(requestedTicket), res);
       return;
     }
     const body = await readBody(req, this.#context.settings.entry.maxBodyBytes);
@@ -163,7 +165,7 @@
         });
         return;
       case 'replay':
-        writeEnd(request, handling.end, '', handling.requestId, res);
+        writeFinishedAnswer(request, handling.end, '', handling.requestId, res);
         return;
       case 'refused':
         writeRefusal(res, handling.refusal);
@@ -175,14 +177,14 @@
     }
   }
 
-  async #sendEnd(ticket: string, res: ServerResponse): Promise<void> {
+  async #sendRequestState(ticket: string, res: ServerResponse): Promise<void> {
     const end = await this.#requests.awaitEnd(ticket);
     if (end === undefined) sendJson(res, 404, { state: 'unknown' });
     else if (end.type === 'refused') writeRefusal(res, end.refusal);
     else sendJson(res, 200, { state: 'whole' });
   }
 
-  /** What `/readyz` and `/status` say. */
+  /** Body of `/readyz` and `/status`. */
   status(): { ready: boolean; [detail: string]: unknown } {
     const { self } = this.#fleet;
     return {
@@ -223,13 +225,13 @@
 
   #refuseTooLarge(res: ServerResponse): void {
     const limit = this.#context.settings.entry.maxBodyBytes;
-    // the rest of the body is not read, so the connection cannot serve another request.
+    // the rest of the body is not read, so the connection cannot be reused for another request.
     res.setHeader('connection', 'close');
     writeRefusal(res, notRun('too-large', `The body may have at most ${limit} bytes.`));
   }
 }
 
-/** Reads the whole body, unless it is larger than the limit or the caller leaves. */
+/** Reads the whole body, unless it exceeds the limit or the caller disconnects. */
 function readBody(req: IncomingMessage, maxBytes: number): Promise<Buffer | 'too-large' | 'gone'> {
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
--- a/packages/router/src/node/entry/executionTable.ts
+++ b/packages/router/src/node/entry/executionTable.ts
@@ -1,35 +1,35 @@
-/** Requests of this incarnation that run or ended recently, so that retries find their answer. */
+/** Requests of this incarnation that are running or ended recently, so that retries find them. */
 
 import type { EpochMs, TicketId } from '@flamingocourse/core';
 import type { LiveAnswer } from './liveAnswer.js';
 
-/** Time for which a finished answer stays available to retries. */
+/** Time for which a finished answer stays available to retries, in milliseconds. */
 export const ANSWER_RETENTION_MS = 120_000;
 
 const MAX_FINISHED = 4_096;
 
-/** One request of this incarnation. */
+/** The run of one request of this incarnation. */
 export interface Execution {
   ticket: TicketId;
   bodyDigest: string;
   keyDigest?: string;
   answer: LiveAnswer;
-  /** Aborted when the request is given up on. */
+  /** Aborted to cancel the request. */
   abort: AbortController;
-  /** Whether it is known that no other ticket can have run under this request's key. */
+  /** True if it is certain that no other ticket ran a request with the same key. */
   soleRun: boolean;
-  /** Set just before the first byte may reach a backend server. */
+  /** Set before the first byte can reach a backend server. */
   dispatched: boolean;
   finishedAt?: EpochMs;
 }
 
-/** Finds executions by ticket number and by idempotency key; bounded in time and count. */
+/** Finds executions by ticket number and idempotency key; finished ones are limited in age and count. */
 export class ExecutionTable {
   readonly #byNumber = new Map<number, Execution>();
   readonly #byKey = new Map<string, Execution>();
   readonly #finished: Execution[] = [];
 
-  /** Requests that have not ended. */
+  /** Number of requests that have not ended. */
   get running(): number {
     return this.#byNumber.size - this.#finished.length;
   }
@@ -47,19 +47,19 @@
     return this.#byKey.get(keyDigest);
   }
 
-  /** Marks an execution as ended and drops what is too old or too many. */
-  finished(execution: Execution, now: EpochMs): void {
+  /** Marks an execution as ended and evicts finished ones that are too old or too many. */
+  markFinished(execution: Execution, now: EpochMs): void {
     execution.finishedAt = now;
     this.#finished.push(execution);
-    while (this.#isDue(this.#finished[0], now)) this.#drop(this.#finished.shift());
+    while (this.#isEvictable(this.#finished[0], now)) this.#delete(this.#finished.shift());
   }
 
-  /** Forgets a request that was refused without running, so that a retry starts afresh. */
-  forget(execution: Execution): void {
-    this.#drop(execution);
+  /** Removes a request that was refused without running, so that a retry starts a new run. */
+  remove(execution: Execution): void {
+    this.#delete(execution);
   }
 
-  /** Forgets everything; called when the incarnation ends. Returns what was still running. */
+  /** Removes all executions when the incarnation ends; returns those still running. */
   clear(): Execution[] {
     const running = [...this.#byNumber.values()].filter((item) => item.finishedAt === undefined);
     this.#byNumber.clear();
@@ -68,13 +68,13 @@
     return running;
   }
 
-  #isDue(execution: Execution | undefined, now: EpochMs): boolean {
+  #isEvictable(execution: Execution | undefined, now: EpochMs): boolean {
     if (execution?.finishedAt === undefined) return false;
     const expired = now - execution.finishedAt > ANSWER_RETENTION_MS;
     return expired || this.#finished.length > MAX_FINISHED;
   }
 
-  #drop(execution: Execution | undefined): void {
+  #delete(execution: Execution | undefined): void {
     if (!execution) return;
     if (this.#byNumber.get(execution.ticket.number) === execution) {
       this.#byNumber.delete(execution.ticket.number);
--- a/packages/router/src/node/entry/executor.ts
+++ b/packages/router/src/node/entry/executor.ts
@@ -1,10 +1,12 @@
 /**
  * Runs one request to its end.
  *
- * Order of the steps, and why: the reservation comes before anything is sent, so the budget holds
- * whatever the engine does; the claim and the intent of a non-idempotent request come before its
- * dispatch, so no other router runs it too; the bill is kept before the caller sees the final event,
- * so a router that dies has either billed the request or not answered it.
+ * The order of the steps matters:
+ * - The reservation comes before anything is sent, so that the budget holds whatever the engine does.
+ * - The claim and the intent of a non-idempotent request come before its dispatch, so that no other
+ *   router runs it too.
+ * - The bill is stored before the caller gets the final event, so that a router that crashes has
+ *   either billed the request or not completed the answer.
  */
 
 import type { Refusal, TicketId } from '@flamingocourse/core';
@@ -18,22 +20,22 @@
 import type { Work, WorkContext, WorkEnd } from './work.js';
 import { notRun } from '../../utils/problem.js';
 import { ChatWork } from './chatWork.js';
-import { confirmElsewhere } from './forward.js';
+import { confirmAtIssuer } from './forward.js';
 import { LiveAnswer } from './liveAnswer.js';
 import { PlainWork } from './plainWork.js';
-import { cancelledEnd, keyReused, notConfirmed, withUnverifiedRun } from './requestRefusals.js';
+import { cancelledEnd, keyReused, notConfirmed, endWithUnknownRun } from './requestRefusals.js';
 import { outcomeUnknown } from './work.js';
 
-/** Largest answer of a plain service that is kept for retries after a router's death, in bytes. */
-const MAX_KEPT_ANSWER_BYTES = 8_192;
+/** Largest answer of a plain service that is stored for retries after a router crash, in bytes. */
+const MAX_STORED_ANSWER_BYTES = 8_192;
 
 /**
- * What becomes of the bill: `skip` where another ticket of the key is billed; `bill-provisionally`
- * where the claim cannot be read and is settled later.
+ * How the request is billed: `skip` if another ticket of the same key is billed; `bill-provisionally`
+ * if the claim cannot be read now and is settled later.
  */
 type Billing = 'bill' | 'bill-provisionally' | 'skip';
 
-/** What executions share. */
+/** Dependencies of an executor, shared by all executions. */
 export interface ExecutorOptions {
   money: Money;
   tickets: TicketCodec;
@@ -41,11 +43,11 @@
   unused: UnusedTickets;
   metrics: Metrics;
   work: WorkContext;
-  /** Receives faults of our own code; the caller is answered all the same. */
+  /** Receives unexpected errors of the router's own code; the caller still gets an answer. */
   onFailure: (err: unknown) => void;
 }
 
-/** Runs requests that have their ticket. */
+/** Runs requests that already have a ticket. */
 export class Executor {
   readonly #options: ExecutorOptions;
 
@@ -56,8 +58,8 @@
   /**
    * Starts a request under a ticket of this incarnation.
    *
-   * @param keyDigest the caller's key, where it has one.
-   * @param billedAs an earlier ticket whose bill covers this run, which is then not billed again.
+   * @param keyDigest digest of the caller's idempotency key, if it sent one.
+   * @param billedAs earlier ticket whose bill covers this run; the run is then not billed again.
    */
   start(
     request: CallerRequest,
@@ -67,10 +69,11 @@
   ): Execution {
     const abort = new AbortController();
     const requestId = this.#options.tickets.format(ticket, request.account.name);
-    const named = request.name.type !== 'none';
+    const hasIdentity = request.identity.type !== 'none';
     const answer = new LiveAnswer(requestId, () => {
-      // a named request goes on without its caller, so that the retry gets the whole answer.
-      if (!named) abort.abort();
+      // a request with a key or ticket goes on without its caller, so that a retry gets the whole
+      // answer.
+      if (!hasIdentity) abort.abort();
     });
     const execution: Execution = {
       ticket,
@@ -78,7 +81,7 @@
       answer,
       abort,
       dispatched: false,
-      // a ticket is run by its issuer alone, and the key of a non-idempotent request was claimed.
+      // only its issuer runs a ticket, and the key of a non-idempotent request is already claimed.
       soleRun: keyDigest === undefined || !request.idempotent,
       ...(keyDigest === undefined ? {} : { keyDigest }),
     };
@@ -95,22 +98,22 @@
     const end = await this.#runGuarded(request, execution, billedAs);
     const { metrics, unused, work } = this.#options;
     const { clock } = work;
-    execution.answer.finish(execution.soleRun ? end : withUnverifiedRun(end));
-    this.#options.table.finished(execution, clock.now());
+    execution.answer.finish(execution.soleRun ? end : endWithUnknownRun(end));
+    this.#options.table.markFinished(execution, clock.now());
     if (end.type === 'refused') {
       metrics.count('requests.refused', 1, { reason: end.refusal.reason });
-      // what did not run may be tried again under the same name.
+      // a request that did not run may be retried with the same key or ticket.
       if (end.refusal.run !== 'not-run') return;
-      this.#options.table.forget(execution);
-      // the claim of a key that was claimed while it ran is given up: each try gets a ticket of its own.
-      const isClaimGivenUp = request.idempotent && execution.keyDigest !== undefined;
-      if (request.name.type !== 'none' && !isClaimGivenUp) unused.add(execution.ticket.number);
+      this.#options.table.remove(execution);
+      // a key that was claimed during the run is released instead: each retry gets a new ticket.
+      const isClaimReleased = request.idempotent && execution.keyDigest !== undefined;
+      if (request.identity.type !== 'none' && !isClaimReleased) unused.add(execution.ticket.number);
       return;
     }
     metrics.count('requests.answered');
   }
 
-  // a fault in our own code must not leave the caller waiting: it is reported and answered.
+  // an unexpected error must not leave the caller waiting: it is reported and answered.
   async #runGuarded(
     request: CallerRequest,
     execution: Execution,
@@ -142,29 +145,32 @@
     });
     if (reserved.isErr) return { type: 'refused', refusal: reserved.error };
     const reservation = reserved.value;
-    const started = await this.#keepIntent(request, execution);
+    const started = await this.#recordIntent(request, execution);
     if (started) {
       this.#options.money.release(reservation);
       return { type: 'refused', refusal: started };
     }
-    const claim = this.#claimEarly(request, execution);
+    const claim = this.#claimWhileRunning(request, execution);
     const end = await work.run(execution);
     if (end.type !== 'refused' && billedAs === undefined) {
       return this.#settle(request, execution, reservation, end, await claim);
     }
     this.#options.money.release(reservation);
-    void this.#giveUpClaim(request, execution, claim);
+    void this.#releaseClaim(request, execution, claim);
     return this.#unbilledEnd(request, execution, end);
   }
 
-  async #keepIntent(request: CallerRequest, execution: Execution): Promise<Refusal | undefined> {
+  async #recordIntent(request: CallerRequest, execution: Execution): Promise<Refusal | undefined> {
     if (request.idempotent) return undefined;
-    const kept = await this.#options.money.recordIntent(execution.ticket);
-    return kept.isErr ? kept.error : undefined;
+    const recorded = await this.#options.money.recordIntent(execution.ticket);
+    return recorded.isErr ? recorded.error : undefined;
   }
 
-  /** Claims the key of an idempotent request while it runs; the bill waits for the answer. */
-  async #claimEarly(request: CallerRequest, execution: Execution): Promise<Billing | Refusal> {
+  /** Claims the key of an idempotent request while it runs; billing waits for the claim's answer. */
+  async #claimWhileRunning(
+    request: CallerRequest,
+    execution: Execution,
+  ): Promise<Billing | Refusal> {
     const { keyDigest, ticket } = execution;
     if (!request.idempotent || keyDigest === undefined) return 'bill';
     const answer = await this.#options.money.claim(keyDigest, request.bodyDigest, ticket);
@@ -177,12 +183,12 @@
       case 'other-body':
         return keyReused();
       case 'other':
-        return this.#billElsewhere(request, answer.ticket, ticket, keyDigest);
+        return this.#resolveOwnedClaim(request, answer.ticket, ticket, keyDigest);
     }
   }
 
-  /** Another ticket owns the key: it bills, unless it provably never will. */
-  async #billElsewhere(
+  /** Another ticket owns the key, and its run is billed unless it provably did not run. */
+  async #resolveOwnedClaim(
     request: CallerRequest,
     owner: TicketId,
     own: TicketId,
@@ -195,7 +201,7 @@
         return 'skip';
       case 'elsewhere': {
         const text = this.#options.tickets.format(owner, request.account.name);
-        const billed = await confirmElsewhere(resolution.entryUrl, text);
+        const billed = await confirmAtIssuer(resolution.entryUrl, text);
         return billed ? 'skip' : notConfirmed();
       }
       case 'not-run': {
@@ -230,13 +236,13 @@
       reservation,
       execution.ticket,
       details,
-      this.#outcomeToKeep(request, execution, end),
+      this.#outcomeToStore(request, execution, end),
     );
     if (billed.isErr) return { type: 'refused', refusal: billed.error };
     return end.type === 'whole' ? end.end : cancelledEnd(execution);
   }
 
-  #outcomeToKeep(
+  #outcomeToStore(
     request: CallerRequest,
     execution: Execution,
     end: WorkEnd,
@@ -249,7 +255,7 @@
       status,
       contentType,
       at: this.#options.work.clock.now(),
-      ...(body.length <= MAX_KEPT_ANSWER_BYTES ? { body: body.toString('base64') } : {}),
+      ...(body.length <= MAX_STORED_ANSWER_BYTES ? { body: body.toString('base64') } : {}),
     };
   }
 
@@ -261,15 +267,15 @@
     return refused ? { type: 'refused', refusal: refused } : cancelledEnd(execution);
   }
 
-  /** Lets another ticket have the key of a repeatable request; nothing is started under this one again. */
-  async #giveUpClaim(
+  /** Releases the key of an idempotent request to other tickets; this ticket never runs again. */
+  async #releaseClaim(
     { idempotent }: CallerRequest,
     { keyDigest, bodyDigest, ticket }: Execution,
     claim: Promise<Billing | Refusal>,
   ): Promise<void> {
     if (!idempotent || keyDigest === undefined) return;
     try {
-      // it may be about to take the key over from a ticket that ended before.
+      // the claim may still be taking the key over from an earlier ticket.
       await claim;
     } catch (err) {
       this.#options.onFailure(err);
--- a/packages/router/src/node/entry/forward.ts
+++ b/packages/router/src/node/entry/forward.ts
@@ -1,4 +1,4 @@
-/** Passing a retry on to the router that issued its ticket. */
+/** Forwards a retry to the router that issued its ticket. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { request as httpRequest } from 'node:http';
@@ -8,8 +8,8 @@
 const DROPPED_HEADERS = new Set(['host', 'connection', 'content-length', 'idempotency-key']);
 
 /**
- * Sends a request to the issuer and its answer back to the caller. Resolves to false, with nothing
- * written to the caller, when the issuer could not be reached.
+ * Sends a request to the issuer and pipes the answer back to the caller. Resolves to false, with
+ * nothing written to the caller, if the issuer cannot be reached.
  *
  * @example
  * if (!(await forwardRequest(entryUrl, ticket, req, body, res))) refuse('outcome-unknown');
@@ -24,12 +24,16 @@
   return new Promise((resolve) => {
     const upstream = httpRequest(`${entryUrl}${req.url ?? '/'}`, {
       method: req.method,
-      headers: { ...passedHeaders(req), ...identityHeaders(ticket), 'content-length': body.length },
+      headers: {
+        ...forwardedHeaders(req),
+        ...identityHeaders(ticket),
+        'content-length': body.length,
+      },
     });
     upstream.on('response', (answer) => {
       res.writeHead(answer.statusCode ?? 502, answer.headers);
       answer.pipe(res);
-      // a cut answer must look cut to the caller as well: without its final event it is none.
+      // a truncated answer must not look complete to the caller, so its connection is broken off too.
       answer.on('close', () => {
         if (!answer.complete) res.destroy();
         resolve(true);
@@ -45,10 +49,10 @@
 }
 
 /**
- * Waits until the issuer has ended a request; true when it gave a whole answer and hence billed it.
- * A false answer says nothing about the request.
+ * Waits until the issuer has ended a request. Resolves to true if it answered the request in full and
+ * therefore billed it; false leaves the outcome unknown.
  */
-export function confirmElsewhere(entryUrl: string, ticket: string): Promise<boolean> {
+export function confirmAtIssuer(entryUrl: string, ticket: string): Promise<boolean> {
   return new Promise((resolve) => {
     const upstream = httpRequest(`${entryUrl}/v1/requests/${encodeURIComponent(ticket)}`, {
       timeout: CONFIRM_TIMEOUT_MS,
@@ -65,7 +69,7 @@
   });
 }
 
-function passedHeaders(req: IncomingMessage): Record<string, string | string[]> {
+function forwardedHeaders(req: IncomingMessage): Record<string, string | string[]> {
   const headers: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(req.headers)) {
     if (value !== undefined && !DROPPED_HEADERS.has(name)) headers[name] = value;
--- a/packages/router/src/node/entry/liveAnswer.ts
+++ b/packages/router/src/node/entry/liveAnswer.ts
@@ -1,14 +1,14 @@
 /**
- * The answer of one request while it is produced, shared by every connection that waits for it.
+ * The answer of one request while it is produced, shared by all connections that wait for it.
  *
- * The answer does not belong to a connection: a retry of the same request attaches to the same
- * answer and gets all of it, and a slow reader holds up nobody else. Memory is bounded by the output
- * limit of the request.
+ * The answer is independent of any connection: a retry of the same request attaches to the same
+ * answer and gets all of it, and a slow reader does not delay other readers. Memory is bounded by the
+ * output limit of the request.
  */
 
 import type { Refusal, Tokens } from '@flamingocourse/core';
 
-/** Tokens of a finished model call. */
+/** Token usage of a finished model call. */
 export interface Usage {
   promptTokens: Tokens;
   completionTokens: Tokens;
@@ -23,11 +23,11 @@
 /** An answer in progress or finished. */
 export class LiveAnswer {
   readonly #parts: string[] = [];
-  readonly #waiting = new Set<() => void>();
+  readonly #waiters = new Set<() => void>();
   #end: AnswerEnd | undefined;
   #readers = 0;
 
-  /** @param onAbandoned called when the last reader leaves before the end. */
+  /** @param onAbandoned called when the last reader detaches before the end. */
   constructor(
     readonly requestId: string,
     readonly onAbandoned: () => void,
@@ -38,7 +38,7 @@
     return this.#parts;
   }
 
-  /** Connections that wait for this answer. */
+  /** Number of connections that wait for this answer. */
   get readers(): number {
     return this.#readers;
   }
@@ -51,24 +51,24 @@
   append(text: string): void {
     if (this.#end) return;
     this.#parts.push(text);
-    this.#wake();
+    this.#notifyWaiters();
   }
 
-  /** Ends the answer once; later calls change nothing. */
+  /** Ends the answer; later calls have no effect. */
   finish(end: AnswerEnd): void {
     if (this.#end) return;
     this.#end = end;
-    this.#wake();
+    this.#notifyWaiters();
   }
 
   /** Resolves when there are more than `seen` parts or the answer has ended. */
-  async beyond(seen: number): Promise<void> {
+  async waitForMoreThan(seen: number): Promise<void> {
     while (this.#parts.length <= seen && !this.#end) {
-      await new Promise<void>((resolve) => this.#waiting.add(resolve));
+      await new Promise<void>((resolve) => this.#waiters.add(resolve));
     }
   }
 
-  /** Registers a reader; the returned function takes it away, once. */
+  /** Registers a reader; the returned function removes it, and later calls of it have no effect. */
   attach(): () => void {
     this.#readers += 1;
     let attached = true;
@@ -80,9 +80,9 @@
     };
   }
 
-  #wake(): void {
-    const waiting = [...this.#waiting];
-    this.#waiting.clear();
-    for (const resolve of waiting) resolve();
+  #notifyWaiters(): void {
+    const waiters = [...this.#waiters];
+    this.#waiters.clear();
+    for (const resolve of waiters) resolve();
   }
 }
--- a/packages/router/src/node/entry/plainWork.ts
+++ b/packages/router/src/node/entry/plainWork.ts
@@ -1,8 +1,8 @@
 /**
  * A call of a plain service.
  *
- * A call that may not be repeated is sent once. Only an attempt of which provably no byte reached
- * the service is followed by another.
+ * A non-idempotent call is retried only if the last attempt provably did not run: no connection was
+ * made, or the server refused the call because it is leaving.
  */
 
 import type { Refusal, Tokens } from '@flamingocourse/core';
@@ -25,16 +25,16 @@
       const placed = await this.place(execution);
       if (placed.isErr) {
         if (execution.abort.signal.aborted && !execution.dispatched) return { type: 'cancelled' };
-        return { type: 'refused', refusal: this.#unplaced(placed.error, execution) };
+        return { type: 'refused', refusal: this.#placementRefusal(placed.error, execution) };
       }
       const end = await this.#attempt(execution, placed.value, attempts);
-      const workEnd = this.#judge(end, execution, attempts);
+      const workEnd = this.#endOrRetry(end, execution, attempts);
       if (workEnd) return workEnd;
     }
   }
 
   async #attempt(execution: Execution, placement: Placement, attempts: number): Promise<PlainEnd> {
-    const ranBefore = execution.dispatched;
+    const wasDispatched = execution.dispatched;
     execution.dispatched = true;
     const startedAt = this.context.clock.now();
     const end = await runPlainAttempt({
@@ -48,14 +48,14 @@
       signal: execution.abort.signal,
     });
     placement.end(attemptEndOf(end), this.context.clock.now() - startedAt);
-    if (end.type === 'not-sent' || end.type === 'leaving') execution.dispatched = ranBefore;
+    if (end.type === 'not-sent' || end.type === 'leaving') execution.dispatched = wasDispatched;
     return end;
   }
 
-  #judge(end: PlainEnd, execution: Execution, attempts: number): WorkEnd | undefined {
+  #endOrRetry(end: PlainEnd, execution: Execution, attempts: number): WorkEnd | undefined {
     switch (end.type) {
       case 'done':
-        return this.#whole(end);
+        return this.#completed(end);
       case 'too-large':
         return {
           type: 'refused',
@@ -83,11 +83,11 @@
     }
   }
 
-  #unplaced(refusal: Refusal, execution: Execution): Refusal {
+  #placementRefusal(refusal: Refusal, execution: Execution): Refusal {
     return execution.dispatched ? backendFailed(refusal.detail, true) : refusal;
   }
 
-  #whole(end: PlainEnd & { type: 'done' }): WorkEnd {
+  #completed(end: PlainEnd & { type: 'done' }): WorkEnd {
     const { service } = this.request;
     const details = {
       service: service.name,
--- a/packages/router/src/node/entry/requestRefusals.ts
+++ b/packages/router/src/node/entry/requestRefusals.ts
@@ -1,4 +1,4 @@
-/** Refusals that follow from a request's identity. */
+/** Refusals that depend on a request's key or ticket. */
 
 import type { Refusal } from '@flamingocourse/core';
 import type { Execution } from './executionTable.js';
@@ -8,19 +8,19 @@
 const CLAIM_RETRY_MS = 2_000;
 
 /**
- * Takes back a "not run" that is not certain. A key may have been used at another router before;
- * while its claim has not been read, "not run" could be a lie about that earlier try.
+ * Replaces an uncertain "not run" by "unknown". The key may have been used at another router before;
+ * until its claim has been read, "not run" could be false for that earlier attempt.
  */
-export function unverified(refusal: Refusal): Refusal {
+export function withUnknownRun(refusal: Refusal): Refusal {
   return refusal.run === 'not-run' ? { ...refusal, run: 'unknown' } : refusal;
 }
 
-/** The same for an end that is a refusal; other ends stay as they are. */
-export function withUnverifiedRun(end: AnswerEnd): AnswerEnd {
-  return end.type === 'refused' ? { ...end, refusal: unverified(end.refusal) } : end;
+/** Applies {@link withUnknownRun} to an end that is a refusal; other ends are returned unchanged. */
+export function endWithUnknownRun(end: AnswerEnd): AnswerEnd {
+  return end.type === 'refused' ? { ...end, refusal: withUnknownRun(end.refusal) } : end;
 }
 
-/** The key names another request already; this one has not run. */
+/** The key already belongs to a request with another body; this one has not run. */
 export function keyReused(): Refusal {
   return notRun(
     'key-reused-with-other-body',
@@ -28,7 +28,7 @@
   );
 }
 
-/** Whether the other ticket of the same key is billed cannot be found out now. */
+/** It cannot be determined now whether the other ticket of the same key is billed. */
 export function notConfirmed(): Refusal {
   return {
     reason: 'outcome-unknown',
@@ -38,7 +38,7 @@
   };
 }
 
-/** End of a request that nobody waits for any more. */
+/** End of a request that was cancelled because no caller waits for it. */
 export function cancelledEnd(execution: Execution): AnswerEnd {
   const refusal: Refusal = execution.dispatched
     ? { reason: 'deadline-passed', run: 'unknown', detail: 'The request was given up on.' }
--- a/packages/router/src/node/entry/requestRunner.ts
+++ b/packages/router/src/node/entry/requestRunner.ts
@@ -1,9 +1,9 @@
 /**
- * Gives every request its identity, so that all tries under one name become one run.
+ * Assigns a ticket to every request, so that all retries with the same key or ticket share one run.
  *
- * A request without a name gets a ticket of its own. A ticket is run by its issuer alone; retries at
- * other routers are passed on, or answered from the journal once the issuer is sealed. A caller's key
- * is bound to one ticket by a claim.
+ * A request without a key or ticket gets a new ticket. Only its issuer runs a ticket; retries at
+ * other routers are forwarded to the issuer, or answered from the journal after the issuer is sealed.
+ * A claim binds a caller's key to one ticket.
  */
 
 import type { Kernel } from '@flamingocourse/kernel';
@@ -23,7 +23,7 @@
 import { notRun } from '../../utils/problem.js';
 import { ExecutionTable } from './executionTable.js';
 import { Executor } from './executor.js';
-import { keyReused, notConfirmed, unverified } from './requestRefusals.js';
+import { keyReused, notConfirmed, withUnknownRun } from './requestRefusals.js';
 import { UnusedTickets } from './unusedTickets.js';
 import { outcomeUnknown } from './work.js';
 
@@ -33,7 +33,7 @@
 const DRAIN_POLL_MS = 20;
 const MAX_TAKEOVER_HOPS = 3;
 
-/** What the entry does with a request. */
+/** What the entry server does with a request. */
 export type Handling =
   | { type: 'answer'; execution: Execution }
   | { type: 'forward'; entryUrl: string; ticket: string }
@@ -48,8 +48,8 @@
   readonly #context: RouterContext;
   readonly #tickets: TicketCodec;
   readonly #table = new ExecutionTable();
-  readonly #unused = new UnusedTickets();
-  readonly #claiming = new Map<string, Promise<Handling>>();
+  readonly #unusedTickets = new UnusedTickets();
+  readonly #pendingClaims = new Map<string, Promise<Handling>>();
   #money!: Money;
   #fleet!: Fleet;
   #executor!: Executor;
@@ -71,7 +71,7 @@
       money: this.#money,
       tickets: this.#tickets,
       table: this.#table,
-      unused: this.#unused,
+      unused: this.#unusedTickets,
       metrics,
       work: {
         backends: kernel.get('backends', Backends),
@@ -85,7 +85,7 @@
     });
   }
 
-  /** Refuses new requests and waits for those in progress, at most `stopTimeoutMs`. */
+  /** Refuses new requests and waits for those in progress, for at most `stopTimeoutMs`. */
   override async stop(): Promise<void> {
     this.#stopping = true;
     const { clock, settings } = this.#context;
@@ -95,45 +95,46 @@
     }
   }
 
-  /** Requests that have not ended. */
+  /** Number of requests that have not ended. */
   get running(): number {
     return this.#table.running;
   }
 
-  /** From now on only retries of what already runs are taken. */
+  /** From now on accepts only retries of known requests. */
   refuseNew(): void {
     this.#stopping = true;
   }
 
-  /** Issues a ticket for a caller to use, as text. */
+  /** Issues a ticket for a later request of the caller, in text form. */
   issueTicket(account: string): Result<string, Refusal> {
-    const refusal = this.#refusalOfNew();
+    const refusal = this.#newRequestRefusal();
     if (refusal) return Result.err(refusal);
     const ticket = this.#money.nextTicket();
-    this.#unused.add(ticket.number);
+    this.#unusedTickets.add(ticket.number);
     return Result.ok(this.#tickets.format(ticket, account));
   }
 
-  /** Waits for the end of a request of this incarnation; undefined when it is not known here. */
+  /** Waits for the end of a request of this incarnation; undefined if it is not in the table. */
   async awaitEnd(ticketText: string): Promise<AnswerEnd | undefined> {
     const issued = this.#tickets.parse(ticketText);
     if (issued?.ticket.issuer !== this.#fleet.self.incarnation) return undefined;
     const execution = this.#table.byNumber(issued.ticket.number);
     if (!execution) return undefined;
-    while (!execution.answer.end) await execution.answer.beyond(execution.answer.parts.length);
+    while (!execution.answer.end)
+      await execution.answer.waitForMoreThan(execution.answer.parts.length);
     return execution.answer.end;
   }
 
-  /** Decides what becomes of a request and starts it where it is new. */
+  /** Decides how a request is handled, and starts it if it is new. */
   async handle(request: CallerRequest): Promise<Handling> {
-    this.#followIncarnation();
-    switch (request.name.type) {
+    this.#adoptIncarnation();
+    switch (request.identity.type) {
       case 'none':
         return this.#startNew(request, undefined);
       case 'ticket':
-        return this.#handleTicket(request, request.name.ticket);
+        return this.#handleTicket(request, request.identity.ticket);
       case 'key':
-        return this.#handleKey(request, request.name.keyDigest);
+        return this.#handleKey(request, request.identity.keyDigest);
     }
   }
 
@@ -149,20 +150,20 @@
   async #handleKey(request: CallerRequest, keyDigest: string): Promise<Handling> {
     const known = this.#table.byKey(keyDigest);
     if (known) return this.#join(known, request);
-    const claiming = this.#claiming.get(keyDigest);
-    if (claiming) {
-      const handling = await claiming;
+    const pendingClaim = this.#pendingClaims.get(keyDigest);
+    if (pendingClaim) {
+      const handling = await pendingClaim;
       return handling.type === 'answer' ? this.#join(handling.execution, request) : handling;
     }
-    const refusal = this.#refusalOfNew();
-    if (refusal) return refused(unverified(refusal));
+    const refusal = this.#newRequestRefusal();
+    if (refusal) return refused(withUnknownRun(refusal));
     if (request.idempotent) return this.#startNew(request, keyDigest);
     const handling = this.#claimAndStart(request, keyDigest);
-    this.#claiming.set(keyDigest, handling);
+    this.#pendingClaims.set(keyDigest, handling);
     try {
       return await handling;
     } finally {
-      this.#claiming.delete(keyDigest);
+      this.#pendingClaims.delete(keyDigest);
     }
   }
 
@@ -172,7 +173,7 @@
     const answer = await this.#money.claim(keyDigest, request.bodyDigest, ticket);
     switch (answer.type) {
       case 'own':
-        return this.#answer(request, ticket, keyDigest);
+        return this.#startExecution(request, ticket, keyDigest);
       case 'other':
         return this.#resumeTicket(request, answer.ticket, keyDigest);
       case 'other-body':
@@ -181,26 +182,26 @@
         const detail =
           'The idempotency key cannot be checked while the platform is out of reach; ' +
           'use a ticket from POST /v1/tickets, or retry.';
-        return refused(unverified(notRun('budget-unreachable', detail, CLAIM_RETRY_MS)));
+        return refused(withUnknownRun(notRun('budget-unreachable', detail, CLAIM_RETRY_MS)));
       }
     }
   }
 
-  /** Continues a request that already has a ticket, wherever that was issued. */
+  /** Handles a request that already has a ticket, issued by this router or another. */
   async #resumeTicket(
     request: CallerRequest,
     ticket: TicketId,
     claimKey: string,
     hops = 0,
   ): Promise<Handling> {
-    // each hop is a takeover by another router; a request that is handed on for ever gets an answer.
+    // each hop is a takeover by another router; the limit ends an endless chain of takeovers.
     if (hops > MAX_TAKEOVER_HOPS) return refused(notConfirmed());
     if (ticket.issuer === this.#fleet.self.incarnation) {
       const known = this.#table.byNumber(ticket.number);
       if (known) return this.#join(known, request);
-      const refusal = this.#refusalOfNew();
+      const refusal = this.#newRequestRefusal();
       if (refusal) return refused(refusal);
-      if (this.#unused.take(ticket.number)) return this.#answer(request, ticket);
+      if (this.#unusedTickets.take(ticket.number)) return this.#startExecution(request, ticket);
     }
     const resolution = await this.#money.resolveTicket(ticket);
     switch (resolution.type) {
@@ -216,7 +217,7 @@
       case 'billed':
         return this.#afterBill(request, ticket);
       case 'not-run':
-        return this.#startUnrun(request, ticket, claimKey, hops);
+        return this.#takeOverTicket(request, ticket, claimKey, hops);
       case 'started':
       case 'unknown':
         return refused(
@@ -225,20 +226,20 @@
     }
   }
 
-  /** A ticket of a sealed router that provably was neither billed nor run: to take over by claim. */
-  async #startUnrun(
+  /** Takes over a ticket of a sealed router that was provably neither billed nor run, by a claim. */
+  async #takeOverTicket(
     request: CallerRequest,
     ticket: TicketId,
     claimKey: string,
     hops: number,
   ): Promise<Handling> {
-    const refusal = this.#refusalOfNew();
+    const refusal = this.#newRequestRefusal();
     if (refusal) return refused(refusal);
     const next = this.#money.nextTicket();
-    const answer = await this.#claimOrphan(request, ticket, next, claimKey);
+    const answer = await this.#claimOrphaned(request, ticket, next, claimKey);
     switch (answer.type) {
       case 'own':
-        return this.#answer(request, next);
+        return this.#startExecution(request, next);
       case 'other':
         return this.#resumeTicket(request, answer.ticket, claimKey, hops + 1);
       case 'other-body':
@@ -251,11 +252,11 @@
   }
 
   /**
-   * Binds an orphaned request to a ticket of ours. Two routers may get retries of it at once, and the
-   * claim lets one of them run it. A ticket from POST /v1/tickets has no claim yet; a key has one,
-   * which still names the dead router's ticket and is taken over from it.
+   * Binds a request whose issuer is sealed to a ticket of this router. Two routers may receive retries
+   * of it at the same time; the claim lets only one of them run it. A ticket from POST /v1/tickets has
+   * no claim yet. A key has a claim that still names the sealed router's ticket; it is taken over.
    */
-  async #claimOrphan(
+  async #claimOrphaned(
     request: CallerRequest,
     from: TicketId,
     to: TicketId,
@@ -266,7 +267,7 @@
     return this.#money.takeOverClaim(claimKey, from, to);
   }
 
-  /** The bill stands but the answer is gone: an idempotent request runs again under that bill. */
+  /** The request was billed but its answer is lost: if idempotent, it runs again under that bill. */
   #afterBill(request: CallerRequest, ticket: TicketId): Handling {
     if (request.idempotent) return this.#startNew(request, undefined, ticket);
     return refused({
@@ -277,12 +278,12 @@
   }
 
   #startNew(request: CallerRequest, keyDigest?: string, billedAs?: TicketId): Handling {
-    const refusal = this.#refusalOfNew();
+    const refusal = this.#newRequestRefusal();
     if (refusal) return refused(refusal);
-    return this.#answer(request, this.#money.nextTicket(), keyDigest, billedAs);
+    return this.#startExecution(request, this.#money.nextTicket(), keyDigest, billedAs);
   }
 
-  #refusalOfNew(): Refusal | undefined {
+  #newRequestRefusal(): Refusal | undefined {
     if (this.#stopping) {
       return notRun('stopping', 'This router is stopping; retry at another.', STOPPING_RETRY_MS);
     }
@@ -290,7 +291,7 @@
     return notRun('not-ready', 'This router holds no budget yet; retry soon.', NOT_READY_RETRY_MS);
   }
 
-  #answer(...started: Parameters<Executor['start']>): Handling {
+  #startExecution(...started: Parameters<Executor['start']>): Handling {
     return { type: 'answer', execution: this.#executor.start(...started) };
   }
 
@@ -299,13 +300,13 @@
     return { type: 'answer', execution };
   }
 
-  // a router that was sealed goes on under a new incarnation. What the old one ran can no longer be
-  // billed, and its ticket numbers must not be taken for those of the new one.
-  #followIncarnation(): void {
+  // a sealed router continues under a new incarnation. Requests of the old incarnation can no longer
+  // be billed, and its ticket numbers must not be confused with those of the new one.
+  #adoptIncarnation(): void {
     const { incarnation } = this.#fleet.self;
     if (incarnation === this.#incarnation) return;
     this.#incarnation = incarnation;
-    this.#unused.clear();
+    this.#unusedTickets.clear();
     for (const execution of this.#table.clear()) execution.abort.abort();
   }
 }
--- a/packages/router/src/node/entry/unusedTickets.ts
+++ b/packages/router/src/node/entry/unusedTickets.ts
@@ -1,16 +1,16 @@
-/** Tickets of this incarnation that name a request which has not been started. */
+/** Tickets of this incarnation whose request has not been started. */
 
-/** Beyond this the oldest are forgotten; a retry under one of them gets `outcome-unknown`. */
+/** Above this number the oldest tickets are dropped; a retry with one gets `outcome-unknown`. */
 const MAX_UNUSED = 65_536;
 
 /**
- * Remembers which tickets may still be started. A ticket that is not in here was started, or cannot
- * be told from one that was, and must not run.
+ * Tracks the tickets that may still be started. A ticket that is not in this set was started, or
+ * cannot be distinguished from a started one, and must not run.
  */
 export class UnusedTickets {
   readonly #numbers = new Set<number>();
 
-  /** Adds a ticket that was issued, or whose request was refused as not run. */
+  /** Adds a ticket that was just issued, or whose request was refused without running. */
   add(number: number): void {
     this.#numbers.add(number);
     if (this.#numbers.size <= MAX_UNUSED) return;
@@ -18,12 +18,12 @@
     if (oldest !== undefined) this.#numbers.delete(oldest);
   }
 
-  /** Takes a ticket to start it; true for exactly one caller. */
+  /** Removes a ticket in order to start it; true only for the first call. */
   take(number: number): boolean {
     return this.#numbers.delete(number);
   }
 
-  /** Forgets all; the incarnation that issued them has ended. */
+  /** Removes all tickets when the incarnation that issued them ends. */
   clear(): void {
     this.#numbers.clear();
   }
--- a/packages/router/src/node/entry/work.ts
+++ b/packages/router/src/node/entry/work.ts
@@ -1,4 +1,4 @@
-/** What runs behind one request, and what all kinds of work share. */
+/** Base class for running one request on backend servers, with the parts that all kinds share. */
 
 import type { Refusal, ServerId, Tokens } from '@flamingocourse/core';
 import type { Clock, EventLog } from '@flamingocourse/kernel';
@@ -11,10 +11,10 @@
 import { digest } from '../../utils/digest.js';
 import { notRun } from '../../utils/problem.js';
 
-/** Pause after which a retry can find a backend server again, in milliseconds. */
+/** Suggested delay before a retry, in milliseconds; by then a backend server may be available. */
 const BACKEND_RETRY_AFTER_MS = 1_000;
 
-/** What work uses of the router. */
+/** The router's services that a request's work uses. */
 export interface WorkContext {
   backends: Backends;
   clock: Clock;
@@ -22,10 +22,10 @@
   maxAttempts: number;
 }
 
-/** How work ended. */
+/** How the work of a request ended. */
 export type WorkEnd =
   | { type: 'whole'; end: AnswerEnd; details: BillDetails }
-  /** Nobody waits any more; `details` is the use so far, absent when nothing was dispatched. */
+  /** No caller waits any more; `details` is the usage so far, absent if nothing was dispatched. */
   | { type: 'cancelled'; details?: BillDetails }
   | { type: 'refused'; refusal: Refusal };
 
@@ -42,22 +42,22 @@
     this.#fingerprint = digest(account.name, service.name, bodyDigest);
   }
 
-  /** Most tokens that the request can cost. */
+  /** Maximum number of tokens that the request can cost. */
   abstract worstCase(): Tokens;
 
-  /** Runs to an end; never throws for a failure of a backend server. */
+  /** Runs the request to its end; never throws for a failure of a backend server. */
   abstract run(execution: Execution): Promise<WorkEnd>;
 
-  /** Key under which requests share a prompt prefix; undefined where that means nothing. */
+  /** Key that requests with the same prompt prefix share; undefined if the request has no prompt. */
   protected prefixKey(): string | undefined {
     return undefined;
   }
 
-  /** Waits for a place on a backend server that this request has not tried yet. */
+  /** Waits for a placement on a backend server, preferably one that was not tried for this request. */
   protected async place(execution: Execution): Promise<Result<Placement, Refusal>> {
     const { service, workClass, deadline } = this.request;
     const prefixKey = this.prefixKey();
-    const wish: PlacementRequest = {
+    const placementRequest: PlacementRequest = {
       service: service.name,
       workClass: workClass.name,
       importance: workClass.importance,
@@ -67,17 +67,17 @@
       signal: execution.abort.signal,
       ...(prefixKey === undefined ? {} : { prefixKey }),
     };
-    const placed = await this.context.backends.place(wish);
+    const placed = await this.context.backends.place(placementRequest);
     if (placed.isOk) this.#tried.push(placed.value.server.id);
     return placed;
   }
 
-  /** Name of one attempt, so that output of any other attempt can be told apart. */
+  /** Unique id of one attempt, to recognise output of other attempts. */
   protected nonce(execution: Execution, attempt: number): string {
     return `${digest(execution.answer.requestId).slice(0, 24)}-${attempt}`;
   }
 
-  /** Whether another attempt is allowed after `attempts` of them. */
+  /** Whether another attempt is allowed after `attempts` attempts. */
   protected mayRetry(attempts: number): boolean {
     if (attempts >= this.context.maxAttempts) return false;
     return this.context.backends.mayRetry(this.request.service.name);
--- a/packages/router/src/utils/problem.ts
+++ b/packages/router/src/utils/problem.ts
@@ -1,10 +1,10 @@
-/** Refusals as problem+json (RFC 9457). */
+/** Formats refusals as problem+json (RFC 9457). */
 
 import type { Refusal, RefusalReason } from '@flamingocourse/core';
 
 const MS_PER_SECOND = 1_000;
 
-/** HTTP status of each refusal. */
+/** HTTP status for each reason of a refusal. */
 const statusByReason: Record<RefusalReason, number> = {
   'bad-request': 400,
   unauthenticated: 401,
@@ -27,7 +27,7 @@
   'answer-expired': 410,
 };
 
-/** Body of a refusal. */
+/** Body of a refusal as problem+json. */
 export interface Problem {
   type: string;
   title: string;
@@ -39,7 +39,7 @@
   retryAfterMs?: number;
 }
 
-/** Status code of a refusal. */
+/** HTTP status code of a refusal. */
 export function statusOf(refusal: Refusal): number {
   return statusByReason[refusal.reason];
 }
@@ -63,7 +63,7 @@
   };
 }
 
-/** Value of the `Retry-After` header in whole seconds, rounded up; undefined where none helps. */
+/** Value of `Retry-After`: whole seconds, rounded up, at least 1; undefined if no retry is advised. */
 export function retryAfterSeconds(refusal: Refusal): string | undefined {
   if (refusal.retryAfterMs === undefined) return undefined;
   return String(Math.max(1, Math.ceil(refusal.retryAfterMs / MS_PER_SECOND)));
--- a/test/money/unbilledClaims.test.ts
+++ b/test/money/unbilledClaims.test.ts
@@ -58,7 +58,7 @@
       idempotent: true,
       maxOutputTokens: 60,
     },
-    name: { type: 'key', keyDigest: KEY },
+    identity: { type: 'key', keyDigest: KEY },
     bodyDigest: BODY,
     idempotent: true,
     receivedAt: Date.now(),
