--- a/test/entry/chatAnswers.test.ts
+++ b/test/entry/chatAnswers.test.ts
@@ -37,7 +37,7 @@
   usage: { prompt_tokens: number; completion_tokens: number };
 }
 
-test('a whole answer comes as one completion with its usage, and is billed for it', async () => {
+test('an answer that is not streamed is one completion with its usage, which is billed', async () => {
   const { url } = await engine();
   const router = await bench([url]);
   const res = await call(router, '/v1/chat/completions', { body: chatBody(12, false) });
@@ -52,13 +52,13 @@
   assert.equal(router.money.held, 0);
 });
 
-// a caller holds an answer that nobody has billed: the router died between the final event and the
-// bill. The final event therefore waits until the bill is kept.
+// Guards against an unbilled answer: a router could crash between the final event and the bill. The
+// final event is therefore sent after the bill is stored.
 test('the final event waits for the bill', async () => {
   const { url } = await engine();
   const router = await bench([url]);
-  let keep: () => void = () => undefined;
-  router.money.keep = new Promise((resolve) => (keep = resolve));
+  let storeBill: () => void = () => undefined;
+  router.money.billStored = new Promise((resolve) => (storeBill = resolve));
   const res = await call(router, '/v1/chat/completions', { body: chatBody(10, true) });
   const reader = (res.body as ReadableStream<Uint8Array>).getReader();
   let text = '';
@@ -66,17 +66,17 @@
     text += Buffer.from((await reader.read()).value ?? []).toString();
   }
   assert.equal(readEvents(text).done, false);
-  keep();
+  storeBill();
   for (let part = await reader.read(); !part.done; part = await reader.read()) {
     text += Buffer.from(part.value).toString();
   }
   assert.deepEqual(readEvents(text), { content: textOf(10), done: true, error: false });
 });
 
-// a volunteer's answer stops in the middle of a sentence: its engine crashed. The router goes on at
-// another engine from the last word; a repeat, a gap or a seam would show as a wrong text.
+// Guards against answers that stop when their engine crashes. The router resumes on another engine
+// after the last word; repeated or missing words would give a wrong text.
 for (const crashAfterTokens of [1, 5, 11]) {
-  test(`a crash after ${crashAfterTokens} tokens is not seen by the caller`, async () => {
+  test(`a crash after ${crashAfterTokens} tokens is not visible to the caller`, async () => {
     const first = await engine({ faults: { crashAfterTokens } });
     const second = await engine();
     const router = await bench([first.url, second.url]);
@@ -90,7 +90,7 @@
     const whole = lengths.map((words) => ({ content: textOf(words), done: true, error: false }));
     assert.deepEqual(answers, whole);
     assert.equal(first.counters.crashes, 1, 'the engine did not crash, so nothing was tried');
-    // a resumed answer costs what an uninterrupted one costs: 6 tokens of prompt and its words.
+    // a resumed answer costs as much as an uninterrupted one: 6 prompt tokens plus its words.
     const costs = router.money.bills.map((bill) => bill.cost).sort((a, b) => a - b);
     assert.deepEqual(
       costs,
@@ -99,10 +99,10 @@
   });
 }
 
-// a caller reads words twice or words of somebody else: the engine repeats events, or sends late
-// ones of an attempt that is over.
+// Guards against repeated words and words of another request: the engine repeats events, or sends
+// late events of an attempt that has ended.
 for (const faults of [{ duplicateChunks: 0.5 }, { lateChunks: 0.5 }]) {
-  test(`output with ${Object.keys(faults).join()} is put right`, async () => {
+  test(`output with ${Object.keys(faults).join()} is corrected`, async () => {
     const { url } = await engine({ faults });
     const router = await bench([url]);
     const res = await call(router, '/v1/chat/completions', { body: chatBody(30, true) });
@@ -110,9 +110,9 @@
   });
 }
 
-// a volunteer's answer lacks words in its middle: a late event of an attempt that was over had a
-// higher event number, and the running attempt's own events were dropped as repeated.
-test('a late event of a longer attempt before does not swallow words', async () => {
+// Guards against missing words in the middle of an answer: a late event of an ended attempt had a
+// higher event number, so the running attempt's own events were dropped as repeated.
+test('a late event of an earlier, longer attempt does not drop words', async () => {
   const { url } = await engine({ faults: { lateChunks: 0.5 } });
   const router = await bench([url]);
   for (const words of [30, 8, 40, 20]) {
@@ -121,8 +121,8 @@
   }
 });
 
-// the connection breaks while the answer is produced and the client sends the request again: both
-// must be one request, with one bill, and the second gets the whole answer.
+// The connection breaks while the answer is produced and the client sends the request again: both
+// must share one run and one bill, and the retry gets the whole answer.
 test('a retry with the same key joins the running request', async () => {
   const { url, counters } = await engine({ decodeMs: 5 });
   const router = await bench([url]);
@@ -139,7 +139,7 @@
   assert.equal(counters.requests, 1);
 });
 
-test('a request without a name is stopped when its caller leaves, and billed so far', async () => {
+test('a request without key or ticket is cancelled when its caller disconnects, and billed for its use', async () => {
   const stoppable = await engine({ decodeMs: 5 });
   const router = await bench([stoppable.url]);
   const abort = new AbortController();
@@ -151,9 +151,9 @@
   assert.equal(router.money.held, 0);
 });
 
-// a router was paused, sealed by its peers and woke up: the engine's answer is complete, but it can
-// not be billed. The caller must not take what it has for an answer.
-test('an answer whose bill cannot be kept gets no final event', async () => {
+// A router was paused, sealed by its peers and resumed: the engine's answer is complete but cannot be
+// billed. The caller must be able to see that its answer is not valid.
+test('an answer whose bill cannot be stored gets no final event', async () => {
   const { url } = await engine();
   const router = await bench([url]);
   router.money.billRefusal = { reason: 'outcome-unknown', run: 'unknown', detail: 'sealed' };
@@ -162,8 +162,8 @@
   assert.deepEqual([events.done, events.error], [false, true]);
 });
 
-// a donor waits in vain: the queue is longer than the deadline. What is refused as "not run" must
-// not run later.
+// The wait in the queue exceeds the deadline. A request that is refused as "not run" must not run
+// later.
 test('a request whose deadline passes in the queue is refused as not run and never runs', async () => {
   const busy = await engine({ slots: 2, decodeMs: 20 });
   const router = await bench([busy.url]);
@@ -182,9 +182,9 @@
   assert.equal(busy.counters.requests, 2);
 });
 
-// one caller on a bad connection does not read its answer: it must not hold up others, and its own
-// memory at the router is freed after a while.
-test('a slow reader is cut off and holds up nobody', async () => {
+// A caller does not read its answer. It must not delay other callers, and the router closes its
+// connection after `slowReaderMs` to free the memory.
+test('a slow reader is disconnected and does not delay other callers', async () => {
   const { url } = await engine({ slots: 8 });
   const router = await bench([url], { slowReaderMs: 100 });
   const padded = { ...chatBody(600, true), user: 'x'.repeat(100) };
@@ -194,22 +194,22 @@
   await slow.body?.cancel();
 });
 
-// a request crashes every server that runs it, and its caller sends it again and again.
-test('a request that crashes its servers is refused after two of them, neighbours are served', async () => {
+// A request crashes every server that runs it, and its caller keeps retrying it.
+test('a request that crashes its servers is refused after two crashes, and other requests are served', async () => {
   const servers = await Promise.all([1, 2, 3, 4].map(() => engine({ restartAfterMs: 50 })));
   const router = await bench(servers.map((server) => server.url));
-  const poison = { model: 'chat', messages: [{ role: 'user', content: 'crash-the-engine' }] };
-  const neighbours = Promise.all(
+  const crashingBody = { model: 'chat', messages: [{ role: 'user', content: 'crash-the-engine' }] };
+  const otherRequests = Promise.all(
     Array.from({ length: 6 }, () =>
       call(router, '/v1/chat/completions', { body: chatBody(40, false) }),
     ),
   );
-  const first = await call(router, '/v1/chat/completions', { body: poison });
+  const first = await call(router, '/v1/chat/completions', { body: crashingBody });
   assert.notEqual(first.status, 200);
-  const again = await call(router, '/v1/chat/completions', { body: poison });
-  const problem = (await again.json()) as { reason: string };
+  const repeated = await call(router, '/v1/chat/completions', { body: crashingBody });
+  const problem = (await repeated.json()) as { reason: string };
   assert.equal(problem.reason, 'quarantined');
   const crashes = servers.reduce((sum, server) => sum + server.counters.crashes, 0);
   assert.equal(crashes, 2);
-  for (const res of await neighbours) assert.equal(res.status, 200);
+  for (const res of await otherRequests) assert.equal(res.status, 200);
 });
--- a/test/entry/plainCalls.test.ts
+++ b/test/entry/plainCalls.test.ts
@@ -32,7 +32,7 @@
   run: string;
 }
 
-test('a call keeps its intent before it is sent, and is billed as declared', async () => {
+test('a call records its intent before it is sent, and is billed as declared', async () => {
   const { router, runs } = await startAll(1);
   const res = await call(router, PATH, { body: { item: 'bed-1', key: 'a' } });
   assert.equal(res.status, 201);
@@ -41,15 +41,15 @@
   assert.equal(router.money.bills[0]?.cost, 3);
 });
 
-// a family's bed is reserved twice: the service ran the call, the connection broke before the reply
-// and the router asked another server.
+// Guards against a call that runs twice: the service ran it, the connection broke before the reply,
+// and the router sent the call to another server.
 const breaks = [
   { breakAt: 'after-run', ran: 1 },
   { breakAt: 'before-run', ran: 0 },
 ] as const;
 
 for (const { breakAt, ran } of breaks) {
-  test(`a connection that breaks ${breakAt} is not asked again`, async () => {
+  test(`a connection that breaks ${breakAt} is not retried`, async () => {
     const { router, servers, runs } = await startAll(2);
     for (const server of servers) server.setFaults({ breakAt, breaks: 5 });
     const headers = { 'idempotency-key': 'bed-17' };
@@ -65,7 +65,7 @@
   });
 }
 
-test('a server that refuses the connection is passed over, since nothing ran', async () => {
+test('a call refused at connection is retried at another server, since nothing ran', async () => {
   const { router, servers, runs } = await startAll(2);
   await servers[0]?.stop();
   for (let index = 0; index < 4; index += 1) {
@@ -75,7 +75,7 @@
   assert.equal(runs(), 4);
 });
 
-test('with no server to be had the refusal says not run, and the intent is taken back', async () => {
+test('without an available server the refusal says not run, and the intent is withdrawn', async () => {
   const { router, servers } = await startAll(1);
   await servers[0]?.stop();
   const res = await call(router, PATH, { body: { item: 'bed-1', key: 'c' } });
@@ -84,8 +84,8 @@
   assert.deepEqual(router.money.notRun, [1]);
 });
 
-// an operator drains a server before its repair, and calls still reach it: nobody read the order.
-test('a drained server gets no new work, and gets it again when the drain is taken back', async () => {
+// Guards against drains that the router ignores: calls still reached a drained server.
+test('a drained server gets no new work until the drain is removed', async () => {
   const { router, servers } = await startAll(2);
   const send = async (): Promise<number[]> => {
     const before = servers.map((server) => server.served);
@@ -100,7 +100,7 @@
   assert.ok(((await send())[0] ?? 0) > 0);
 });
 
-// two retries of one reservation arrive together: both waited for the claim, and both ran.
+// Guards against two retries that arrive at the same time, both wait for the claim, and both run.
 test('the same key sent twice at once runs once and both get the answer', async () => {
   const { router, runs } = await startAll(2);
   const options = { body: { item: 'bed-3', key: 'd' }, headers: { 'idempotency-key': 'bed-3' } };
@@ -110,7 +110,7 @@
   assert.equal(runs(), 1);
 });
 
-test('a ticket runs once however often it is sent', async () => {
+test('a ticket that is sent repeatedly runs once', async () => {
   const { router, runs } = await startAll(1);
   const issued = await call(router, '/v1/tickets', { body: {} });
   const { ticket } = (await issued.json()) as { ticket: string };
@@ -121,15 +121,15 @@
   assert.equal(runs(), 1);
 });
 
-// a family's reservation was refused because no server was there, "not run"; the volunteer sends it
-// again under the same name, and is told for ever that its outcome is unknown.
-for (const name of ['idempotency-key', 'flamingocourse-ticket']) {
-  test(`a request refused as not run can be sent again under its ${name}`, async () => {
+// Guards against a retry that always gets "outcome-unknown": its first attempt was refused as "not
+// run" because no server was available, and the retry uses the same key or ticket.
+for (const header of ['idempotency-key', 'flamingocourse-ticket']) {
+  test(`a request refused as not run can be retried with its ${header}`, async () => {
     const { router, servers, runs } = await startAll(1);
     const issued = await call(router, '/v1/tickets', { body: {} });
     const { ticket } = (await issued.json()) as { ticket: string };
-    const value = name === 'idempotency-key' ? 'bed-9' : ticket;
-    const options = { body: { item: 'bed-9', key: 'g' }, headers: { [name]: value } };
+    const value = header === 'idempotency-key' ? 'bed-9' : ticket;
+    const options = { body: { item: 'bed-9', key: 'g' }, headers: { [header]: value } };
     servers[0]?.setFaults({ leaving: true });
     const refused = (await (await call(router, PATH, options)).json()) as Problem;
     assert.equal(refused.run, 'not-run');
@@ -144,8 +144,8 @@
   });
 }
 
-// a volunteer's retry gets no answer at all: the router that issued the ticket died before the ticket
-// was used, nobody had claimed it, and the takeover asked for a claim that was not there, for ever.
+// Guards against a retry that never gets an answer: the router that issued the ticket crashed before
+// the ticket was used, so it had no claim, and the takeover kept asking for that claim.
 test('a ticket of a sealed router that has not run is run once, and its retry gets the answer', async () => {
   const { router, runs } = await startAll(1);
   const codec = new HmacTicketCodec('a secret of the tests');
@@ -166,7 +166,7 @@
 ] as const;
 
 for (const { resolution, reason, run } of resolutions) {
-  test(`a ticket of a dead router that is ${resolution.type} gets ${reason}`, async () => {
+  test(`a ticket of a crashed router that is ${resolution.type} gets ${reason}`, async () => {
     const { router, runs } = await startAll(1);
     const codec = new HmacTicketCodec('a secret of the tests');
     const ticket = codec.format({ issuer: 'dc-b/router-9/0', number: 1 }, 'shop');
--- a/test/entry/refusals.test.ts
+++ b/test/entry/refusals.test.ts
@@ -56,7 +56,7 @@
     reason: 'unknown-class',
   },
   {
-    name: 'a deadline that is no number',
+    name: 'a deadline that is not a number',
     headers: { 'flamingocourse-deadline-ms': 'soon' },
     status: 400,
     reason: 'bad-request',
@@ -74,7 +74,7 @@
     reason: 'bad-request',
   },
   {
-    name: 'a ticket made up by the caller',
+    name: 'a ticket that no router issued',
     headers: { 'flamingocourse-ticket': 'a.b' },
     status: 400,
     reason: 'bad-request',
@@ -98,7 +98,7 @@
   });
 }
 
-test('a refusal for budget is passed on as it is, with the time to come back', async () => {
+test('a budget refusal is passed on unchanged, with the time after which to retry', async () => {
   router.money.refusal = {
     reason: 'budget-exhausted',
     run: 'not-run',
@@ -111,11 +111,11 @@
   assert.equal(res.headers.get('retry-after'), '2');
 });
 
-// a tow entry ran at one router, its reply was lost, and the retry reaches a router that refuses it
-// for its own reasons: "not run" would be read as leave to send it under a new name, and to run twice.
+// A request ran at one router, its reply was lost, and another router refuses the retry for an
+// unrelated reason. After "not run" the caller could send it with a new key, and it would run twice.
 const unchecked = [
-  { name: 'a key that no claim has been read for', key: true, run: 'unknown' },
-  { name: 'no name at all', key: false, run: 'not-run' },
+  { name: 'a key whose claim has not been read', key: true, run: 'unknown' },
+  { name: 'neither key nor ticket', key: false, run: 'not-run' },
 ];
 
 for (const { name, key, run } of unchecked) {
@@ -128,8 +128,8 @@
   });
 }
 
-// guards against a key that is owned for good by a refused request, whose claim was answered after its refusal.
-test('a refused request gives its key up once its claim is answered', async () => {
+// Guards against a key that a refused request owns forever: its claim was answered after its refusal.
+test('a refused request releases its key when its claim is answered', async () => {
   const { money } = router;
   let answerClaims: () => void = () => undefined;
   money.claimed = new Promise((resolve) => (answerClaims = resolve));
--- a/test/entry/ticketCodec.test.ts
+++ b/test/entry/ticketCodec.test.ts
@@ -6,7 +6,7 @@
 const ticket = { issuer: 'dc-a/router-1/0a1b', number: 42 };
 const text = codec.format(ticket, 'shop');
 
-test('a ticket reads back with its account and is url-safe', () => {
+test('a parsed ticket keeps its account, and its text is URL-safe', () => {
   assert.match(text, /^[\w.~-]+$/);
   assert.deepEqual(codec.parse(text), { ticket, account: 'shop' });
 });
@@ -19,7 +19,7 @@
   { name: 'for another account', value: `${otherAccount}.${mac}` },
   { name: 'of another fleet', value: new HmacTicketCodec('another secret').format(ticket, 'shop') },
   { name: 'without a signature', value: payload },
-  { name: 'made up', value: 'a.b' },
+  { name: 'with arbitrary text', value: 'a.b' },
   { name: 'that is too long', value: `${'a'.repeat(2_000)}.${mac}` },
 ];
 
--- a/test/process/firstCall.test.ts
+++ b/test/process/firstCall.test.ts
@@ -10,11 +10,14 @@
   body: string;
 }
 
-/** Reads the first curl command of a page, with the variables that the demo printed filled in. */
+/** Parses the first curl command of a page and substitutes the variables that the demo printed. */
 async function readCurl(page: string, exported: Map<string, string>): Promise<CurlCall> {
   const text = await readFile(new URL(`../../${page}`, import.meta.url), 'utf8');
-  const written = /^curl [\s\S]*?\n```$/m.exec(text)?.[0] ?? '';
-  const command = written.replaceAll(/\$([A-Z_]+)/g, (_, name: string) => exported.get(name) ?? '');
+  const template = /^curl [\s\S]*?\n```$/m.exec(text)?.[0] ?? '';
+  const command = template.replaceAll(
+    /\$([A-Z_]+)/g,
+    (_, name: string) => exported.get(name) ?? '',
+  );
   const headers = [...command.matchAll(/-H ['"]([^:]+): ([^'"]+)['"]/g)];
   return {
     url: /https?:\/\/\S+/.exec(command)?.[0] ?? '',
@@ -23,8 +26,8 @@
   };
 }
 
-// A new user starts the demo and copies the curl command of the page. It names an account, a class
-// and a model of the examples; were one of them renamed there, the first call would be refused.
+// Guards against outdated curl commands in the docs. They name an account, a class and a model of the
+// examples; if one of these is renamed in the examples, a new user's first call is refused.
 test('the curl commands of README.md and CALLERS.md get an answer from the demo', async (t) => {
   buildOnce();
   const abort = new AbortController();
--- a/test/process/promises.test.ts
+++ b/test/process/promises.test.ts
@@ -1,27 +1,27 @@
 import assert from 'node:assert/strict';
 import { before, test } from 'node:test';
-import { assertHeld, buildOnce, startSmallStage } from './fixtures/processStage.js';
+import { assertNoBrokenPromise, buildOnce, startSmallStage } from './fixtures/processStage.js';
 
 before(buildOnce);
 
-// A caller's stream breaks off in the middle: its router was killed. The caller sends the same key
-// or ticket to the next router and gets its whole answer, billed once, and no entry is made twice.
+// A router is killed while callers read their streams. Each caller retries with the same key or ticket
+// at another router and gets the whole answer; it is billed once, and no call runs twice.
 test('a router killed with open streams: retries are whole, billed once and run once', async (t) => {
   const stage = await startSmallStage(t);
-  const { load } = await assertHeld(stage, {
+  const { load } = await assertNoBrokenPromise(stage, {
     name: 'kill',
     faults: ['SIGKILL'],
     seconds: 4,
     mayBreak: true,
     steps: [{ atSeconds: 1.5, run: (at) => at.fleet.kill(0) }],
   });
-  assert.ok(load.retries > 0, 'callers of the killed router tried again');
+  assert.ok(load.retries > 0, 'callers of the killed router retried');
 });
 
-// A budget is spent twice: a router that was sealed while it stood still wakes and believes that it may spend.
-test('a router frozen past its sealing spends nothing when it wakes', async (t) => {
+// Guards against tokens spent twice: a router that was sealed while frozen resumes and still spends.
+test('a router that is sealed while frozen spends nothing when it resumes', async (t) => {
   const stage = await startSmallStage(t);
-  await assertHeld(stage, {
+  await assertNoBrokenPromise(stage, {
     name: 'freeze',
     faults: ['SIGSTOP'],
     seconds: 6,
@@ -43,10 +43,10 @@
   });
 });
 
-// Both sides of a cut spend the same tokens, and a top-up that comes meanwhile.
+// Guards against tokens spent on both sides of a network partition, including a top-up during it.
 test('a data centre cut off during a top-up does not overspend', async (t) => {
   const stage = await startSmallStage(t);
-  await assertHeld(stage, {
+  await assertNoBrokenPromise(stage, {
     name: 'cut',
     faults: ['cut'],
     seconds: 6,
@@ -72,12 +72,12 @@
   });
 });
 
-// An operator stops a router while callers read their streams. A stop that ended the process at
-// once would cut them off; they must be finished, and new requests sent to other routers.
-test('SIGTERM under load cuts off no request', async (t) => {
+// An operator stops a router while callers read their streams. The router must finish these streams
+// before its process ends, and new requests must go to other routers.
+test('SIGTERM under load interrupts no request', async (t) => {
   const stage = await startSmallStage(t);
   const ends: unknown[] = [];
-  await assertHeld(stage, {
+  await assertNoBrokenPromise(stage, {
     name: 'stop',
     faults: ['SIGTERM'],
     seconds: 4,
