--- a/packages/router/src/node/entry/entryServer.ts
+++ b/packages/router/src/node/entry/entryServer.ts
@@ -30,7 +30,7 @@
   override readonly dependsOn = ['requests', 'configuration', 'fleet', 'money'];
 
   readonly #context: RouterContext;
-  /** Responses that are not closed yet. */
+  /** Responses that are neither sent in full nor closed. */
   readonly #openResponses = new Set<ServerResponse>();
   #server: Server | undefined;
   #kernel!: Kernel;
@@ -98,7 +98,7 @@
     res.once('close', () => this.#openResponses.delete(res));
   }
 
-  /** Waits until all responses are closed, for at most `slowReaderMs`. */
+  /** Waits until all responses are sent; gives up on callers that need more than `slowReaderMs`. */
   async #waitForOpenResponses(): Promise<void> {
     const { slowReaderMs } = this.#context.settings.entry;
     let timer: NodeJS.Timeout | undefined;
--- a/packages/router/src/node/entry/executor.ts
+++ b/packages/router/src/node/entry/executor.ts
@@ -145,10 +145,10 @@
     });
     if (reserved.isErr) return { type: 'refused', refusal: reserved.error };
     const reservation = reserved.value;
-    const started = await this.#recordIntent(request, execution);
-    if (started) {
+    const intentRefusal = await this.#recordIntent(request, execution);
+    if (intentRefusal) {
       this.#options.money.release(reservation);
-      return { type: 'refused', refusal: started };
+      return { type: 'refused', refusal: intentRefusal };
     }
     const claim = this.#claimWhileRunning(request, execution);
     const end = await work.run(execution);
--- a/packages/router/src/node/entry/requestRunner.ts
+++ b/packages/router/src/node/entry/requestRunner.ts
@@ -194,7 +194,7 @@
     claimKey: string,
     hops = 0,
   ): Promise<Handling> {
-    // each hop is a takeover by another router; the limit ends an endless chain of takeovers.
+    // each hop is a takeover by another router; the limit ensures that the caller gets an answer.
     if (hops > MAX_TAKEOVER_HOPS) return refused(notConfirmed());
     if (ticket.issuer === this.#fleet.self.incarnation) {
       const known = this.#table.byNumber(ticket.number);
