--- a/packages/router/src/node/entry/answerWriter.ts
+++ b/packages/router/src/node/entry/answerWriter.ts
@@ -21,7 +21,8 @@
 
 /**
  * Writes the answer of an execution, or a refusal as soon as the caller's deadline has passed. A slow
- * or disconnected caller does not affect the execution; it is only removed from the answer's readers.
+ * or disconnected caller does not affect the execution, except that it is removed from the answer's
+ * readers.
  */
 export async function writeAnswer(
   request: CallerRequest,
--- a/packages/router/src/node/entry/executionTable.ts
+++ b/packages/router/src/node/entry/executionTable.ts
@@ -23,7 +23,7 @@
   finishedAt?: EpochMs;
 }
 
-/** Finds executions by ticket number and idempotency key; finished ones are limited in age and count. */
+/** Finds executions by ticket number or key; limits the age and count of finished ones. */
 export class ExecutionTable {
   readonly #byNumber = new Map<number, Execution>();
   readonly #byKey = new Map<string, Execution>();
--- a/packages/router/src/node/entry/requestRunner.ts
+++ b/packages/router/src/node/entry/requestRunner.ts
@@ -252,9 +252,10 @@
   }
 
   /**
-   * Binds a request whose issuer is sealed to a ticket of this router. Two routers may receive retries
-   * of it at the same time; the claim lets only one of them run it. A ticket from POST /v1/tickets has
-   * no claim yet. A key has a claim that still names the sealed router's ticket; it is taken over.
+   * Binds a request whose issuer is sealed to a ticket of this router. Two routers may receive
+   * retries of it at the same time; the claim lets only one of them run it. A ticket from POST
+   * /v1/tickets has no claim yet. A key has a claim that still names the sealed router's ticket; this
+   * claim is taken over.
    */
   async #claimOrphaned(
     request: CallerRequest,
--- a/packages/router/src/node/entry/work.ts
+++ b/packages/router/src/node/entry/work.ts
@@ -53,7 +53,7 @@
     return undefined;
   }
 
-  /** Waits for a placement on a backend server, preferably one that was not tried for this request. */
+  /** Waits for a placement on a backend server, preferably one that this request has not tried. */
   protected async place(execution: Execution): Promise<Result<Placement, Refusal>> {
     const { service, workClass, deadline } = this.request;
     const prefixKey = this.prefixKey();
--- a/test/entry/chatAnswers.test.ts
+++ b/test/entry/chatAnswers.test.ts
@@ -139,7 +139,7 @@
   assert.equal(counters.requests, 1);
 });
 
-test('a request without key or ticket is cancelled when its caller disconnects, and billed for its use', async () => {
+test('a request without key or ticket is cancelled and billed when its caller disconnects', async () => {
   const stoppable = await engine({ decodeMs: 5 });
   const router = await bench([stoppable.url]);
   const abort = new AbortController();
@@ -195,7 +195,7 @@
 });
 
 // A request crashes every server that runs it, and its caller keeps retrying it.
-test('a request that crashes its servers is refused after two crashes, and other requests are served', async () => {
+test('a request is refused after it crashed two servers, and other requests are served', async () => {
   const servers = await Promise.all([1, 2, 3, 4].map(() => engine({ restartAfterMs: 50 })));
   const router = await bench(servers.map((server) => server.url));
   const crashingBody = { model: 'chat', messages: [{ role: 'user', content: 'crash-the-engine' }] };
--- a/test/process/promises.test.ts
+++ b/test/process/promises.test.ts
@@ -4,8 +4,8 @@
 
 before(buildOnce);
 
-// A router is killed while callers read their streams. Each caller retries with the same key or ticket
-// at another router and gets the whole answer; it is billed once, and no call runs twice.
+// A router is killed while callers read their streams. Each caller retries with the same key or
+// ticket at another router and gets the whole answer; it is billed once, and no call runs twice.
 test('a router killed with open streams: retries are whole, billed once and run once', async (t) => {
   const stage = await startSmallStage(t);
   const { load } = await assertNoBrokenPromise(stage, {
