--- a/packages/store/src/node/httpObjectStore.ts
+++ b/packages/store/src/node/httpObjectStore.ts
@@ -29,7 +29,7 @@
 import { PlatformError } from '../utils/platformError.js';
 import { ObjectApiDialect } from './objectApiDialect.js';
 import { ObjectWatch } from './objectWatch.js';
-import { ReturnProbe } from './returnProbe.js';
+import { RecoveryProbe } from './recoveryProbe.js';
 import {
   checkObject,
   faultToError,
@@ -39,10 +39,10 @@
 } from './wireFormat.js';
 
 const defaultTimeoutMs = 1_500;
-/** A list answers with whole values, so it may be longer than one value's megabyte. */
+/** Lists contain whole values, so they may exceed the limit of 1 MiB for a single value. */
 const maxAnswerBytes = 64 * 1024 * 1024;
 const maxSockets = 16;
-/** Above the platform's time between bookmarks; with a list after it, a change is known within 3 s. */
+/** Longer than the platform's bookmark interval. Including the list that follows, a change is known within 3 s. */
 const defaultWatchIdleMs = 2_000;
 
 /** Options of the client. */
@@ -51,28 +51,28 @@
   url: string;
   /** Milliseconds for a whole call. @default 1500 */
   timeoutMs?: number;
-  /** How the store speaks. @default the Object API */
+  /** Protocol of the store. @default the Object API */
   dialect?: StoreDialect;
   circuit?: CircuitOptions;
-  /** Milliseconds without a line after which a watch is opened anew. @default 2000 */
+  /** Milliseconds without data after which a watch is reopened. @default 2000 */
   watchIdleMs?: number;
   clock?: Clock;
   /** Numbers from 0 to 1 for the jitter of back-offs. @default Math.random */
   random?: () => number;
-  /** Receives failures of background work. */
+  /** Receives errors of background work. */
   onFailure?: (err: unknown) => void;
 }
 
-/** Milliseconds for a probe; a store that is only slow answers within it. */
+/** Timeout of a probe in milliseconds; a store that is merely slow answers within it. */
 const PROBE_TIMEOUT_MS = 1_000;
-/** Ends of a watch after which the store may be away. */
-const SILENT_ENDS: ReadonlySet<WatchEnd> = new Set(['silent', 'broken', 'refused']);
+/** Reasons for the end of a watch that may mean an outage of the store. */
+const OUTAGE_REASONS: ReadonlySet<WatchEnd> = new Set(['silent', 'broken', 'refused']);
 
 type Request = StoreRequest & { kind: CallKind };
 
 /**
- * Client of the Object API. While the platform is out its circuit refuses calls at once, with the
- * error `unreachable` and the effect `none`.
+ * Client of the Object API. During an outage of the platform its circuit breaker fails calls
+ * immediately, with the error `unreachable` and the effect `none`.
  *
  * @example
  * const store = new HttpObjectStore({ url: 'http://127.0.0.1:7000' });
@@ -83,11 +83,11 @@
   readonly #clock: Clock;
   readonly #dialect: StoreDialect;
   readonly #agent = new Agent({ keepAlive: true, maxSockets });
-  /** Watches hold their connection, so they must not take one from the calls. */
+  /** Separate from the agent for calls, because each watch occupies a connection all the time. */
   readonly #watchAgent = new Agent({ keepAlive: true });
-  /** A probe opens a connection of its own: those that were open may be silent for good. */
+  /** A probe opens a new connection: existing ones may never deliver data again. */
   readonly #probeAgent = new Agent({ keepAlive: false });
-  readonly #probe: ReturnProbe;
+  readonly #probe: RecoveryProbe;
   readonly #watches = new Set<ObjectWatch<unknown>>();
   #circuit = createCircuit();
 
@@ -96,7 +96,7 @@
     this.#options = options;
     this.#clock = options.clock ?? new SystemClock();
     this.#dialect = options.dialect ?? new ObjectApiDialect();
-    this.#probe = new ReturnProbe({
+    this.#probe = new RecoveryProbe({
       send: () => void this.#sendProbe(),
       random: options.random ?? Math.random,
     });
@@ -126,7 +126,7 @@
       const answer = await this.#call({ kind: 'list', ...request }, options);
       const page = answer.andThen((reply) => this.#dialect.parseList(reply));
       if (page.isErr) return Result.err(page.error);
-      // changes between two parts are told again by a watch that begins at the first part's version.
+      // a watch from the first page's version also delivers the changes made between two pages.
       if (after === undefined) objects.version = page.value.version;
       objects.items.push(...page.value.items);
       after = page.value.next;
@@ -174,16 +174,16 @@
       agent: this.#watchAgent,
       idleMs: options.idleMs ?? this.#options.watchIdleMs ?? defaultWatchIdleMs,
       random: this.#options.random ?? Math.random,
-      isAway: () => this.#probe.isAway,
+      isUnreachable: () => this.#probe.isUnreachable,
       onOpen: () => {
         this.countSent('watch');
       },
-      onHeard: (by) => {
-        this.#heard(by as ObjectWatch<unknown>);
+      onAnswer: (by) => {
+        this.#recordAnswer(by as ObjectWatch<unknown>);
       },
       onBreak: (end) => {
         this.countFailed('watch');
-        if (SILENT_ENDS.has(end)) this.#suspect();
+        if (OUTAGE_REASONS.has(end)) this.#startProbing();
       },
       onFailure: this.#options.onFailure ?? (() => undefined),
     });
@@ -245,7 +245,9 @@
     const { state, admitted } = admitCall(this.#circuit, this.#clock.now());
     this.#circuit = state;
     if (!admitted) {
-      return Result.err(new PlatformError('unreachable', 'the platform is out; call not sent'));
+      return Result.err(
+        new PlatformError('unreachable', 'the circuit breaker is open; call not sent'),
+      );
     }
     this.countSent(kind);
     const answer = await exchange({
@@ -261,22 +263,22 @@
       .andThen((reply) =>
         reply.status < 300 ? Result.ok(reply) : Result.err(this.#dialect.toError(kind, reply)),
       );
-    this.#record(kind, result, options.signal);
+    this.#recordResult(kind, result, options.signal);
     return result;
   }
 
-  /** Only watches have to learn of the return by themselves. */
-  #suspect(): void {
-    if (this.#watches.size > 0) this.#probe.suspect();
+  /** Starts probing if there are watches; nothing else has to detect the recovery by itself. */
+  #startProbing(): void {
+    if (this.#watches.size > 0) this.#probe.recordFailure();
   }
 
   /**
-   * The store answered a call: all that wait for its return go on at once.
+   * Records an answer of the store. After an outage it closes the circuit and wakes the watches.
    *
-   * @param by the watch that was told something, if it was one.
+   * @param by the watch that received the answer; undefined for other calls.
    */
-  #heard(by?: ObjectWatch<unknown>): void {
-    if (!this.#probe.heard()) return;
+  #recordAnswer(by?: ObjectWatch<unknown>): void {
+    if (!this.#probe.recordAnswer()) return;
     this.#circuit = createCircuit();
     for (const watch of this.#watches) if (watch !== by) watch.wake();
   }
@@ -291,22 +293,22 @@
       maxAnswerBytes,
       agent: this.#probeAgent,
     });
-    if (answer.isOk && isUseful(answer.value)) this.#heard();
+    if (answer.isOk && showsServing(answer.value)) this.#recordAnswer();
     else this.countFailed('get');
   }
 
-  #record(
+  #recordResult(
     kind: CallKind,
     result: Result<HttpAnswer, PlatformError>,
     signal: AbortSignal | undefined,
   ): void {
     if (result.isErr) this.countFailed(kind);
     const failed = result.isErr && result.error.code === 'unreachable';
-    // a call that its caller gave up says nothing about the platform, except as the one probe:
-    // left without an outcome, a half-open circuit would admit no call ever again.
+    // a call that its caller aborted says nothing about the platform. The single call of a half-open
+    // circuit counts nevertheless: without an outcome, the circuit would never admit a call again.
     if (failed && signal?.aborted && this.#circuit.phase !== 'half-open') return;
-    if (failed) this.#suspect();
-    else if (result.isOk || result.error.code !== 'throttled') this.#heard();
+    if (failed) this.#startProbing();
+    else if (result.isOk || result.error.code !== 'throttled') this.#recordAnswer();
     this.#circuit = recordOutcome(
       this.#circuit,
       failed ? 'failed' : 'answered',
@@ -316,8 +318,8 @@
   }
 }
 
-/** Whether a store that gave this answer serves others calls too; a missing object is an answer. */
-function isUseful({ status }: HttpAnswer): boolean {
+/** Whether an answer shows that the store serves calls. "Not found" is such an answer. */
+function showsServing({ status }: HttpAnswer): boolean {
   return status < 300 || status === 404;
 }
 
@@ -331,7 +333,7 @@
   return list;
 }
 
-/** One malformed entry must not hide the other instances. */
+/** Returns an array that is empty for a malformed entry, so that the other instances stay usable. */
 function parseInstance(item: unknown): InstanceRecord[] {
   const parsed = wireInstanceSchema.safeParse(item);
   return parsed.success ? [parsed.data] : [];
--- a/packages/store/src/node/objectApiDialect.ts
+++ b/packages/store/src/node/objectApiDialect.ts
@@ -1,4 +1,4 @@
-/** The Object API of docs/design/protocols.md: one JSON line for each change that a watch tells. */
+/** The Object API of docs/design/protocols.md. A watch is a stream with one JSON line per change. */
 
 import type { HttpAnswer } from '@flamingocourse/kernel';
 import type { Result } from 'true-myth';
@@ -13,7 +13,7 @@
 import type { CallKind } from '../types/objects.js';
 import type { PlatformError } from '../utils/platformError.js';
 import { StoreDialect } from '../runtime/storeDialect.js';
-import { followLines } from './watchConnection.js';
+import { streamLines } from './watchConnection.js';
 import {
   parseJson,
   statusToError,
@@ -75,20 +75,20 @@
     url.searchParams.set('watch', 'true');
     url.searchParams.set('resourceVersion', call.version);
     const { agent, signal, idleMs } = call;
-    return followLines({
+    return streamLines({
       url,
       agent,
       signal,
       idleMs,
       maxLineBytes,
       onLine: (line) => {
-        takeLine(line, call);
+        handleLine(line, call);
       },
     });
   }
 }
 
-function takeLine(text: string, call: WatchCall): void {
+function handleLine(text: string, call: WatchCall): void {
   const line = parseJson(text, wireWatchLineSchema);
   if (line.isErr) return;
   const { type, object } = line.value;
--- a/packages/store/src/node/objectWatch.ts
+++ b/packages/store/src/node/objectWatch.ts
@@ -1,4 +1,4 @@
-/** A watch that goes on until it is stopped: resumes, backs off, and lists again when too old. */
+/** A watch that runs until it is stopped: resumes, backs off, and lists again if its version is too old. */
 
 import type { Steps } from '@flamingocourse/kernel';
 import type { Agent } from 'node:http';
@@ -12,7 +12,7 @@
 
 const backOff = { firstMs: 100, maxMs: 1_500 };
 
-/** What a watch needs from its store. */
+/** Dependencies of a watch. */
 export interface WatchPorts<T> {
   list: () => PlatformResult<ObjectList<T>>;
   dialect: StoreDialect;
@@ -21,11 +21,11 @@
   agent: Agent;
   idleMs: number;
   random: () => number;
-  /** Whether probes look for the store's return; a call would only hang or cost. */
-  isAway: () => boolean;
+  /** Whether the store is unreachable. Then only probes are sent: other calls would hang or cost. */
+  isUnreachable: () => boolean;
   onOpen: () => void;
-  /** The store told this watch something. */
-  onHeard: (watch: ObjectWatch<T>) => void;
+  /** Called when the store sent something to this watch. */
+  onAnswer: (watch: ObjectWatch<T>) => void;
   onBreak: (end: WatchEnd) => void;
   onFailure: (err: unknown) => void;
 }
@@ -33,17 +33,17 @@
 /** One running watch. */
 export class ObjectWatch<T> {
   readonly #abort = new AbortController();
-  /** Ends a pause; closed when the watch is stopped. */
-  readonly #wakeUp = new Channel<true>(1);
+  /** Ends the pause between two calls; closed when the watch is stopped. */
+  readonly #wakeSignal = new Channel<true>(1);
   #isBackingOff = false;
-  /** The waiting call, while there is one. */
+  /** The call in flight, if any. */
   #call: AbortController | undefined;
   #version: string | undefined;
   #failures = 0;
-  /** Whether changes came since the last pause. */
-  #changed = false;
-  /** Milliseconds that the watch has paused since the last word, for changes to gather. */
-  #gatheredMs = 0;
+  /** Whether changes arrived since the last pause. */
+  #hasChanged = false;
+  /** Milliseconds that the watch paused after the last answer, to receive changes in batches. */
+  #batchPauseMs = 0;
 
   constructor(
     readonly collection: Collection<T>,
@@ -56,47 +56,47 @@
 
   stop(): void {
     this.#abort.abort();
-    this.#wakeUp.close();
+    this.#wakeSignal.close();
   }
 
   /**
-   * The store is back from an outage: ends a back-off, or opens a waiting call anew. One that was sent
-   * while the store was away would hang up to its own time limit.
+   * Called after an outage of the store. Ends a back-off, or aborts the call in flight so that it is
+   * sent again: a call sent during the outage would hang until its timeout.
    */
   wake(): void {
     this.#failures = 0;
-    if (this.#isBackingOff) this.#wakeUp.offer(true);
+    if (this.#isBackingOff) this.#wakeSignal.offer(true);
     else this.#call?.abort();
   }
 
   *#run(): Steps<void> {
     while (!this.#abort.signal.aborted) {
-      if (this.ports.isAway()) this.#fail('the store is away');
+      if (this.ports.isUnreachable()) this.#recordFailure('the store is unreachable');
       else {
         if (this.#version === undefined) yield* awaitPromise(this.#list());
         if (this.#version !== undefined) yield* awaitPromise(this.#follow());
       }
       const pauseMs = this.#pauseMs();
       this.#isBackingOff = this.#failures > 0;
-      if (pauseMs > 0) yield* takeWithin(this.#wakeUp, pauseMs);
+      if (pauseMs > 0) yield* takeWithin(this.#wakeSignal, pauseMs);
       this.#isBackingOff = false;
     }
   }
 
   #pauseMs(): number {
-    const changed = this.#changed;
-    this.#changed = false;
-    this.#gatheredMs = 0;
+    const changed = this.#hasChanged;
+    this.#hasChanged = false;
+    this.#batchPauseMs = 0;
     if (this.#failures > 0) return backOffMs(this.#failures - 1, backOff, this.ports.random);
-    if (changed) this.#gatheredMs = this.options.gatherMs ?? 0;
-    return this.#gatheredMs;
+    if (changed) this.#batchPauseMs = this.options.gatherMs ?? 0;
+    return this.#batchPauseMs;
   }
 
   async #list(): Promise<void> {
     const list = await this.ports.list();
     if (this.#abort.signal.aborted) return;
     if (list.isErr) {
-      this.#fail(list.error.message);
+      this.#recordFailure(list.error.message);
       return;
     }
     this.#version = list.value.version;
@@ -115,36 +115,36 @@
       version: this.#version ?? '0',
       agent,
       signal: AbortSignal.any([this.#abort.signal, this.#call.signal]),
-      // counted from the last word: a pause and a whole wait after it would look like an outage.
-      idleMs: idleMs - this.#gatheredMs,
+      // counted from the last answer: the pause plus the full idle time would look like an outage.
+      idleMs: idleMs - this.#batchPauseMs,
       onChanges: (changes, version) => {
-        this.#takeChanges(changes, version);
+        this.#deliverChanges(changes, version);
       },
     });
     this.#call = undefined;
-    this.#settle(end);
+    this.#handleEnd(end);
   }
 
-  #settle(end: WatchEnd): void {
+  #handleEnd(end: WatchEnd): void {
     if (end === 'stopped' || end === 'answered') return;
-    // too old: the changes in between are gone from the platform's history. Silent: a watch that is
-    // open and mute, also after it is opened anew, would hide every change. A list tells them all.
+    // too-old: the platform's history no longer has the missed changes. silent: a platform that keeps
+    // watches open, even new ones, and sends nothing would hide all changes. A list contains them.
     if (end === 'too-old' || end === 'silent') this.#version = undefined;
     this.ports.onBreak(end);
-    this.#fail(end);
+    this.#recordFailure(end);
   }
 
-  #fail(reason: string): void {
+  #recordFailure(reason: string): void {
     this.#failures += 1;
     this.options.onBreak?.(reason);
   }
 
-  #takeChanges(changes: WireChange[], version: string): void {
+  #deliverChanges(changes: WireChange[], version: string): void {
     if (this.#abort.signal.aborted) return;
-    this.ports.onHeard(this);
+    this.ports.onAnswer(this);
     this.#failures = 0;
     this.#version = version;
-    this.#changed ||= changes.length > 0;
+    this.#hasChanged ||= changes.length > 0;
     for (const change of latestChanges(changes)) {
       if (change.type === 'removed') {
         this.options.onEvent({ type: 'removed', name: change.name, version });
--- a/packages/store/src/node/watchConnection.ts
+++ b/packages/store/src/node/watchConnection.ts
@@ -1,17 +1,17 @@
-/** One connection of a watch: newline-delimited JSON until it ends, breaks or falls silent. */
+/** One connection of a watch: reads newline-delimited JSON until it ends, fails or is idle too long. */
 
 import type { Agent, IncomingMessage } from 'node:http';
 import type { WatchEnd } from '../runtime/storeDialect.js';
 import { request } from 'node:http';
 
-/** A connection to open. */
-export interface LineWatch {
+/** Options of one connection. */
+export interface LineStreamOptions {
   url: URL;
   agent: Agent;
   signal: AbortSignal;
-  /** Milliseconds without a line after which the connection is given up. */
+  /** Milliseconds without data after which the connection is closed. */
   idleMs: number;
-  /** Longest line, in bytes. */
+  /** Maximum length of a line that is not complete yet, in UTF-16 code units. */
   maxLineBytes: number;
   onLine: (line: string) => void;
 }
@@ -19,8 +19,8 @@
 const statusTooOld = 410;
 const statusThrottled = 429;
 
-/** Follows one connection; never rejects. */
-export function followLines(call: LineWatch): Promise<WatchEnd> {
+/** Reads one connection to its end; never rejects. */
+export function streamLines(call: LineStreamOptions): Promise<WatchEnd> {
   return new Promise((resolve) => {
     const req = request(call.url, { agent: call.agent });
     const finish = (end: WatchEnd): void => {
@@ -32,8 +32,8 @@
     const stop = (): void => {
       finish('stopped');
     };
-    // a platform that went silent keeps the TCP connection open: without this timer the watch would
-    // wait for ever and later changes would never arrive. Bookmarks keep a healthy watch above it.
+    // a platform that stops sending may keep the TCP connection open: without this timer the watch
+    // would wait forever and miss all later changes. In a healthy watch, bookmarks restart the timer.
     const idleTimer = setTimeout(() => {
       finish('silent');
     }, call.idleMs);
@@ -59,7 +59,7 @@
 
 function readLines(
   res: IncomingMessage,
-  call: LineWatch,
+  call: LineStreamOptions,
   idleTimer: NodeJS.Timeout,
   finish: (end: WatchEnd) => void,
 ): void {
--- a/packages/store/src/node/wireFormat.ts
+++ b/packages/store/src/node/wireFormat.ts
@@ -1,4 +1,4 @@
-/** Bodies of the Object API on the wire; see docs/design/protocols.md. */
+/** Wire format of the Object API; see docs/design/protocols.md. */
 
 import type { ZodType } from 'zod';
 import type { CallKind, Collection, VersionedObject } from '../types/objects.js';
@@ -13,7 +13,7 @@
   value: z.unknown().optional(),
 });
 
-/** Takes the names of the Object API off an object. */
+/** Converts an object of the Object API into the form that all dialects share. */
 export function toWireObject({ metadata, value }: z.infer<typeof wireObjectSchema>): WireObject {
   return { name: metadata.name, version: metadata.resourceVersion, value };
 }
@@ -27,7 +27,7 @@
   type: z.enum(['ADDED', 'MODIFIED', 'DELETED', 'BOOKMARK']),
   object: z.object({
     metadata: z.object({ name: z.string().optional(), resourceVersion: z.string() }),
-    // a bookmark names no object and has no value.
+    // a bookmark has neither a name nor a value.
     value: z.unknown().optional(),
   }),
 });
@@ -44,20 +44,20 @@
 
 const writeKinds: readonly CallKind[] = ['create', 'update', 'remove'];
 
-/** Parses text that should be JSON of a given shape. */
+/** Parses JSON text and validates it with a schema. Error: `invalid`. */
 export function parseJson<T>(text: string, schema: ZodType<T>): Result<T, PlatformError> {
   try {
     const parsed = schema.safeParse(JSON.parse(text));
     if (parsed.success) return Result.ok(parsed.data);
     return Result.err(
-      new PlatformError('invalid', 'the answer has the wrong shape', { cause: parsed.error }),
+      new PlatformError('invalid', 'the answer does not match the schema', { cause: parsed.error }),
     );
   } catch (err) {
     return Result.err(new PlatformError('invalid', 'the answer is not JSON', { cause: err }));
   }
 }
 
-/** Checks an object's value with the schema of its collection. */
+/** Validates an object's value with the schema of its collection. Error: `invalid`. */
 export function checkObject<T>(
   collection: Collection<T>,
   wire: WireObject,
@@ -66,13 +66,17 @@
   const parsed = collection.schema.safeParse(wire.value);
   if (parsed.success) return Result.ok({ name, version, value: parsed.data });
   return Result.err(
-    new PlatformError('invalid', `${collection.name}/${name} has a value of the wrong shape`, {
-      cause: parsed.error,
-    }),
+    new PlatformError(
+      'invalid',
+      `${collection.name}/${name} has a value that does not match the schema`,
+      {
+        cause: parsed.error,
+      },
+    ),
   );
 }
 
-/** Turns a missing answer into an error. A write may have taken effect all the same. */
+/** Converts a missing answer into an error. A write may have taken effect nevertheless. */
 export function faultToError(kind: CallKind, fault: TransportFault): PlatformError {
   const effect = writeKinds.includes(kind) ? 'unknown' : 'none';
   const { reason, cause } = fault;
@@ -82,7 +86,7 @@
   return new PlatformError('unreachable', `no answer to ${kind}: ${reason}`, { cause, effect });
 }
 
-/** Turns a status other than success into an error. */
+/** Converts a status other than success into an error. */
 export function statusToError(kind: CallKind, answer: HttpAnswer): PlatformError {
   const message = `the platform answered ${kind} with ${String(answer.status)}`;
   switch (answer.status) {
@@ -98,7 +102,7 @@
       return new PlatformError('throttled', message, { retryAfterMs: retryAfterMs(answer) });
     default:
       if (answer.status < 500) return new PlatformError('invalid', message);
-      // a gateway may give 5xx after the store behind it has done the write.
+      // a gateway may answer 5xx although the store behind it has done the write.
       return new PlatformError('unreachable', message, {
         effect: writeKinds.includes(kind) ? 'unknown' : 'none',
         retryAfterMs: retryAfterMs(answer),
@@ -106,7 +110,7 @@
   }
 }
 
-/** Wait that an answer asks for, in milliseconds. */
+/** Delay that the `retry-after` header of an answer asks for, in milliseconds. */
 export function retryAfterMs(answer: HttpAnswer): number | undefined {
   const seconds = Number(answer.headers['retry-after']);
   return Number.isFinite(seconds) ? seconds * 1_000 : undefined;
--- a/packages/store/src/runtime/backOff.ts
+++ b/packages/store/src/runtime/backOff.ts
@@ -1,16 +1,16 @@
-/** Bounded exponential back-off with full jitter. */
+/** Bounded exponential back-off with jitter. */
 
-/** Bounds of a back-off. */
+/** Options of a back-off. */
 export interface BackOffOptions {
-  /** Milliseconds before the first retry, at most. */
+  /** Maximum delay before the first retry, in milliseconds. */
   firstMs: number;
-  /** Milliseconds before any retry, at most. */
+  /** Maximum delay before any retry, in milliseconds. */
   maxMs: number;
 }
 
 /**
- * Milliseconds to wait before the next try. Half of the wait is random, so that routers which lost
- * the platform together do not all come back in the same moment.
+ * Returns the delay before the next retry, in milliseconds. Half of it is random, so that routers that
+ * lost the platform at the same time do not all retry at the same moment.
  *
  * @example
  * backOffMs(0, { firstMs: 100, maxMs: 2_000 }, () => 0.5); // 75
--- a/packages/store/src/runtime/circuit.ts
+++ b/packages/store/src/runtime/circuit.ts
@@ -1,20 +1,20 @@
 /**
- * Circuit breaker in front of the platform: after repeated failures calls are refused at once, and
- * single probes find out when the platform answers again.
+ * Circuit breaker for calls to the platform: after repeated failures, calls fail immediately, and
+ * single calls are admitted as probes to detect when the platform answers again.
  */
 
 /** State of the circuit. */
 export interface CircuitState {
   phase: 'closed' | 'open' | 'half-open';
-  /** Failures in a row. */
+  /** Consecutive failures. */
   failures: number;
-  /** Time of the next probe while open, in epoch milliseconds. */
+  /** Time from which an open circuit admits a probe, in epoch milliseconds. */
   retryAt: number;
 }
 
 /** Limits of the circuit. */
 export interface CircuitOptions {
-  /** Failures in a row that open the circuit. */
+  /** Consecutive failures that open the circuit. */
   failureLimit: number;
   /** First pause before a probe, in milliseconds; doubles with each failed probe. */
   pauseMs: number;
@@ -28,7 +28,7 @@
   maxPauseMs: 1_500,
 };
 
-/** What became of an admitted call. */
+/** Outcome of an admitted call. */
 export type CallOutcome = 'answered' | 'failed';
 
 /** A circuit that admits every call. */
@@ -37,7 +37,8 @@
 }
 
 /**
- * Decides whether a call may be sent. While half-open the one probe is under way, so others wait.
+ * Decides whether a call may be sent. A half-open circuit has a probe in flight and admits no other
+ * call.
  *
  * @example
  * const { state, admitted } = admitCall(circuit, now);
@@ -52,8 +53,8 @@
 }
 
 /**
- * Takes in the outcome of a call. An answer of any status closes the circuit, because it shows that
- * the platform is there.
+ * Records the outcome of a call. An answer with any status closes the circuit, because it shows that
+ * the platform is reachable.
  *
  * @example
  * circuit = recordOutcome(circuit, 'failed', now, defaultCircuitOptions);
@@ -65,7 +66,7 @@
   options: CircuitOptions,
 ): CircuitState {
   if (outcome === 'answered') return createCircuit();
-  // calls that were under way when the circuit opened must not lengthen the pause.
+  // calls that were in flight when the circuit opened must not extend the pause.
   if (state.phase === 'open') return state;
   const failures = state.failures + 1;
   if (failures < options.failureLimit) return { ...state, failures };
--- a/packages/store/src/runtime/latestChanges.ts
+++ b/packages/store/src/runtime/latestChanges.ts
@@ -1,10 +1,10 @@
-/** Leaves out changes that later ones of the same answer have overtaken. */
+/** Removes changes that later changes of the same answer supersede. */
 
 import type { WireChange } from './storeDialect.js';
 
 /**
- * The last change of each object, in their order. What an object was in between is of no use any more, and
- * checking a large one costs more than all else that is done for it.
+ * Returns the last change of each object, in the original order. Intermediate versions are not needed,
+ * and validating a large object costs more than all other processing of it.
  *
  * @example
  * latestChanges([{ type: 'removed', name: 'a' }, { type: 'changed', object: a }]); // the second
--- a/packages/store/src/runtime/memoryObjectStore.ts
+++ b/packages/store/src/runtime/memoryObjectStore.ts
@@ -1,4 +1,4 @@
-/** Object store in the memory of the process, with fault switches; for tests. */
+/** In-memory object store with fault injection; for tests. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type {
@@ -17,11 +17,11 @@
 import { ObjectStore } from './objectStore.js';
 import { ObjectTable } from './objectTable.js';
 
-/** Fault switches; may be changed at any time. */
+/** Faults to inject; may be changed at any time. */
 export interface MemoryFaults {
-  /** Calls fail as `unreachable` without effect; watches stay silent. */
+  /** Calls fail with `unreachable` and have no effect; watches deliver nothing. */
   outage: boolean;
-  /** Number of coming writes that take effect and lose their reply. */
+  /** Number of upcoming writes that take effect but whose reply is lost. */
   lostReplies: number;
   /** Milliseconds before each call takes effect. */
   delayMs: number;
@@ -30,7 +30,7 @@
 type Watcher = (change: StoredChange) => void;
 
 /**
- * In-process store. {@link view} gives further clients of the same objects, each with own faults.
+ * In-memory store. {@link view} creates further clients of the same objects, each with its own faults.
  *
  * @example
  * const store = new MemoryObjectStore();
@@ -48,12 +48,12 @@
     this.#instances = instances;
   }
 
-  /** Another client of the same objects, with its own fault switches. */
+  /** Creates another client of the same objects, with its own faults. */
   view(): MemoryObjectStore {
     return new MemoryObjectStore(this.table, this.#instances);
   }
 
-  /** Replaces what {@link listInstances} gives. */
+  /** Replaces the instances that {@link listInstances} returns. */
   setInstances(instances: InstanceRecord[]): void {
     this.#instances.splice(0, this.#instances.length, ...instances);
   }
@@ -116,7 +116,7 @@
     const deliver: Watcher = (change) => {
       if (this.faults.outage || change.collection !== collection.name) return;
       if (Number(change.object.version) <= seen) return;
-      // what was missed during an outage is delivered with the first change after it.
+      // changes missed during an outage are delivered together with the first change after it.
       const missed = this.table.changesSince(collection.name, String(seen)).unwrapOr([change]);
       seen = Number(change.object.version);
       for (const entry of missed) deliverChange(collection, options, entry);
@@ -159,7 +159,7 @@
     if (this.faults.delayMs > 0) await delay(this.faults.delayMs);
     if (!this.faults.outage) return read();
     this.countFailed(kind);
-    return Result.err(new PlatformError('unreachable', 'the platform is out'));
+    return Result.err(new PlatformError('unreachable', 'the platform is unreachable'));
   }
 
   async #write(
@@ -171,7 +171,7 @@
     if (this.faults.delayMs > 0) await delay(this.faults.delayMs);
     if (this.faults.outage) {
       this.countFailed(kind);
-      return Result.err(unknownEffect('the platform is out'));
+      return Result.err(unknownEffect('the platform is unreachable'));
     }
     const stored = write().mapErr((fault) => toError(fault, name));
     if (this.faults.lostReplies === 0) return stored;
--- a/packages/store/src/runtime/objectStore.ts
+++ b/packages/store/src/runtime/objectStore.ts
@@ -1,4 +1,4 @@
-/** What the system asks of the platform's Object API and instance list. */
+/** Interface to the platform's Object API and instance list. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
@@ -20,7 +20,7 @@
 
 /**
  * Versioned objects with conditional updates. A failed write whose error has the effect `unknown`
- * may have taken effect: read the object again before repeating it.
+ * may have taken effect: read the object again before retrying.
  *
  * @example
  * const read = await store.get(ledgers, '0');
@@ -39,7 +39,7 @@
   /** Reads all objects of a collection. Errors as for {@link get}, without `not-found`. */
   abstract list<T>(collection: Collection<T>, options?: ReadOptions): PlatformResult<ObjectList<T>>;
 
-  /** Creates an object if the name is free. Errors: `exists`, and those of {@link update}. */
+  /** Creates an object if the name is unused. Errors: `exists`, and those of {@link update}. */
   abstract create<T>(
     collection: Collection<T>,
     name: string,
@@ -67,19 +67,19 @@
     options?: CallOptions,
   ): PlatformResult<'removed'>;
 
-  /** Follows a collection until stopped; resumes after breaks and lists again when needed. */
+  /** Watches a collection until stopped; resumes after failures and lists again if needed. */
   abstract watch<T>(collection: Collection<T>, options: WatchOptions<T>): Subscription;
 
-  /** Reads the lagging list of a service's instances. */
+  /** Reads the list of a service's instances, which the platform updates with a delay. */
   abstract listInstances(service: string, options?: CallOptions): PlatformResult<InstanceRecord[]>;
 
-  /** Ends watches and open connections. */
+  /** Stops all watches and closes all connections. */
   abstract close(): void;
 
-  /** Whether the platform is taken to be there; false while calls are refused without being sent. */
+  /** Whether the platform is considered reachable; false while calls fail without being sent. */
   abstract get reachable(): boolean;
 
-  /** Calls sent so far, by kind. A waiting watch counts once per connection. */
+  /** Numbers of calls so far, by kind. A watch counts once per connection. */
   get counters(): CallCounters {
     return structuredClone(this.#counters);
   }
--- a/packages/store/src/runtime/objectTable.ts
+++ b/packages/store/src/runtime/objectTable.ts
@@ -1,8 +1,8 @@
-/** Versioned objects with a bounded history, in memory: the rules of the Object API without HTTP. */
+/** Versioned objects with a bounded history, in memory: the Object API's semantics without HTTP. */
 
 import { Result } from 'true-myth';
 
-/** An object as stored; the value stays text, so that no caller can change it in place. */
+/** A stored object; its value is kept as JSON text, so that no caller can mutate it. */
 export interface StoredObject {
   name: string;
   version: string;
@@ -20,9 +20,9 @@
 
 /** Limits of a table. */
 export interface ObjectTableOptions {
-  /** Changes that a watch can resume from. @default 1000 */
+  /** Number of changes in the history, from which a watch can resume. @default 1000 */
   historyLength?: number;
-  /** Largest value as JSON, in bytes. @default 1048576 */
+  /** Maximum length of a value's JSON text, in bytes. @default 1048576 */
   maxValueBytes?: number;
 }
 
@@ -39,7 +39,7 @@
   readonly #historyLength: number;
   readonly #maxValueBytes: number;
   #history: StoredChange[] = [];
-  /** Version up to which the history was dropped. */
+  /** Version of the newest change that was dropped from the history. */
   #droppedTo = 0;
   #counter = 0;
 
@@ -88,7 +88,7 @@
     return Result.ok(removed);
   }
 
-  /** Changes of a collection after a version, or `too-old` when the history no longer has them. */
+  /** Changes of a collection after a version, or `too-old` if the history no longer has them. */
   changesSince(collection: string, version: string): Result<StoredChange[], TableFault> {
     const from = Number(version);
     if (from < this.#droppedTo) return Result.err('too-old');
@@ -99,7 +99,7 @@
     );
   }
 
-  /** Calls back on each change; returns a function that ends it. */
+  /** Calls the listener on each change; returns a function that unsubscribes it. */
   subscribe(listener: (change: StoredChange) => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
@@ -129,11 +129,11 @@
     const object = { name, version: this.version, json };
     const objects = this.#collections.get(collection) ?? new Map<string, StoredObject>();
     this.#collections.set(collection, objects.set(name, object));
-    this.#remember({ type, collection, object });
+    this.#recordChange({ type, collection, object });
     return object;
   }
 
-  #remember(change: StoredChange): void {
+  #recordChange(change: StoredChange): void {
     this.#history.push(change);
     if (this.#history.length > this.#historyLength) {
       const dropped = this.#history.shift();
--- a/packages/store/src/runtime/storeDialect.ts
+++ b/packages/store/src/runtime/storeDialect.ts
@@ -1,4 +1,4 @@
-/** How an object store speaks: the form of its calls, answers and watches. */
+/** Protocol of one kind of object store: its calls, answers and watches. */
 
 import type { HttpAnswer, HttpCall } from '@flamingocourse/kernel';
 import type { Agent } from 'node:http';
@@ -6,7 +6,7 @@
 import type { CallKind } from '../types/objects.js';
 import type { PlatformError } from '../utils/platformError.js';
 
-/** A call as the store wants it. */
+/** An HTTP request to the store. */
 export interface StoreRequest {
   method: HttpCall['method'];
   /** Path and query. */
@@ -15,50 +15,50 @@
   body?: string;
 }
 
-/** An object before its value was checked. */
+/** An object whose value is not validated yet. */
 export interface WireObject {
   name: string;
-  /** Decimal digits from the store's one counter. */
+  /** Decimal digits of a counter that the whole store shares. */
   version: string;
   value: unknown;
 }
 
-/** Part of a list. */
+/** One page of a list. */
 export interface ListPage {
   items: WireObject[];
   version: string;
-  /** Name after which the next part begins; absent on the last. */
+  /** Name after which the next page begins; absent on the last page. */
   next?: string;
 }
 
-/** A change that a watch told of. */
+/** A change that a watch delivered. */
 export type WireChange =
   { type: 'changed'; object: WireObject } | { type: 'removed'; name: string };
 
-/** Why a watch connection is over. `answered`: it told what it had; the next one goes on from there. */
+/** Why a watch connection ended. `answered`: all changes were delivered; the next call continues after them. */
 export type WatchEnd =
   'answered' | 'ended' | 'stopped' | 'too-old' | 'throttled' | 'refused' | 'broken' | 'silent';
 
-/** A watch connection to open. */
+/** Options of a watch connection. */
 export interface WatchCall {
   /** Base URL of the store. */
   url: string;
   collection: string;
-  /** Version already seen. */
+  /** Version after which the watch begins. */
   version: string;
   agent: Agent;
   signal: AbortSignal;
-  /** Milliseconds of silence after which a healthy store would have said something. */
+  /** Idle timeout in milliseconds; a healthy store sends something within it. */
   idleMs: number;
-  /** Gets the changes and the version up to which all are known. */
+  /** Receives changes, and the version up to which all changes are then known. */
   onChanges: (changes: WireChange[], version: string) => void;
 }
 
-/** Form of the calls and answers of one kind of store. */
+/** Requests and answers of one kind of store. */
 export abstract class StoreDialect {
   /** @param stale whether the answer may be some seconds old. */
   abstract get(collection: string, name: string, stale?: boolean): StoreRequest;
-  /** The cheapest call whose answer shows that the store serves this instance. */
+  /** The cheapest request whose answer shows that the store serves this instance. */
   abstract probe(): StoreRequest;
   abstract list(collection: string, after?: string, stale?: boolean): StoreRequest;
   abstract create(collection: string, name: string, value: unknown): StoreRequest;
@@ -67,9 +67,9 @@
 
   abstract parseObject(answer: HttpAnswer): Result<WireObject, PlatformError>;
   abstract parseList(answer: HttpAnswer): Result<ListPage, PlatformError>;
-  /** Turns a status other than success into an error. */
+  /** Converts a status other than success into an error. */
   abstract toError(kind: CallKind, answer: HttpAnswer): PlatformError;
 
-  /** Follows changes over one connection; never rejects. */
+  /** Receives changes over one connection until it ends; never rejects. */
   abstract follow(call: WatchCall): Promise<WatchEnd>;
 }
--- a/packages/store/src/types/objects.ts
+++ b/packages/store/src/types/objects.ts
@@ -1,8 +1,8 @@
-/** Objects of the platform's Object API as its callers see them. */
+/** Public types of the Object API client. */
 
 import type { ZodType } from 'zod';
 
-/** Collections that the system keeps in the object store of its own interface. */
+/** Collections that this system keeps in a store with the Object API. */
 export type CollectionName =
   | 'declarations'
   | 'audits'
@@ -14,22 +14,22 @@
   | 'orders';
 
 /**
- * A collection with the shape of its values.
+ * A collection and the schema of its values.
  *
  * @example
  * const ledgers: Collection<LedgerPage> = { name: 'ledgers', schema: ledgerPageSchema };
  */
 export interface Collection<T> {
-  /** One of {@link CollectionName}, or a collection of the store that an adapter speaks to. */
+  /** One of {@link CollectionName}, or a collection of the store that an adapter connects to. */
   name: string;
-  /** Checks each value that is read, so that a foreign or damaged value never gets in. */
+  /** Validates each value that is read, so that no malformed value is used. */
   schema: ZodType<T>;
 }
 
-/** One object with the version that a conditional update must name. */
+/** One object with the version that a conditional update must state. */
 export interface VersionedObject<T> {
   name: string;
-  /** Decimal digits from one counter of the whole store; orders all changes. */
+  /** Decimal digits of a counter that the whole store shares; orders all changes. */
   version: string;
   value: T;
 }
@@ -38,46 +38,46 @@
 export interface ObjectList<T> {
   version: string;
   items: VersionedObject<T>[];
-  /** Names of objects that the schema refused; the others stay usable. */
+  /** Names of objects whose values do not match the schema; the other objects stay usable. */
   invalid: string[];
 }
 
-/** What a watch reports. */
+/** An event of a watch. */
 export type WatchEvent<T> =
   | { type: 'changed'; object: VersionedObject<T> }
   | { type: 'removed'; name: string; version: string }
-  /** The whole collection: at the start without a version, and when the version was too old. */
+  /** The whole collection: sent first if the watch has no version, and again if it was too old. */
   | { type: 'listed'; list: ObjectList<T> }
-  /** A changed object that the schema refused. */
+  /** A changed object whose value does not match the schema. */
   | { type: 'invalid'; name: string; version: string };
 
-/** Where a watch begins and where its events go. */
+/** Options of a watch. */
 export interface WatchOptions<T> {
-  /** Last version already seen; absent to begin with a list. */
+  /** Last version that the caller knows; if absent, the watch begins with a list. */
   from?: string;
-  /** Milliseconds for which the watch may be silent. @default that of the store */
+  /** Milliseconds without data after which the watch is reopened. @default the store's setting */
   idleMs?: number;
   /**
-   * Milliseconds that the watch pauses after changes, so that those that come together are told by one
-   * answer of a store whose calls are answered with the first change. @default 0
+   * Milliseconds that the watch pauses after changes. For stores that answer a call as soon as there
+   * is one change: changes made close together then arrive in one answer. @default 0
    */
   gatherMs?: number;
   onEvent: (event: WatchEvent<T>) => void;
-  /** Called whenever the store said that what was delivered so far is complete. */
+  /** Called whenever the store confirms that all changes so far were delivered. */
   onHeard?: () => void;
-  /** Called when the watch broke; it is tried again after a back-off. */
+  /** Called when the watch fails; it is retried after a back-off. */
   onBreak?: (reason: string) => void;
 }
 
 /** A running watch. */
 export interface Subscription {
-  /** Ends the watch; no event is delivered after it returns. */
+  /** Ends the watch; no event is delivered after this call returns. */
   stop(): void;
 }
 
 /** Options of one call. */
 export interface CallOptions {
-  /** Gives the call up. A write given up may still take effect. */
+  /** Aborts the call. An aborted write may still take effect. */
   signal?: AbortSignal;
   /** Milliseconds. @default the store's timeout */
   timeoutMs?: number;
@@ -85,12 +85,12 @@
 
 /** Options of one read. */
 export interface ReadOptions extends CallOptions {
-  /** Whether the answer may be some seconds old, which a store may serve at a lower price. */
+  /** Whether the answer may be some seconds old; a store may charge less for such reads. */
   stale?: boolean;
 }
 
 /** Kinds of calls, as the platform counts them. */
 export type CallKind = 'get' | 'list' | 'create' | 'update' | 'remove' | 'watch' | 'instances';
 
-/** Calls sent to the platform since the start, by kind. */
+/** Numbers of calls sent and failed since the start, by kind. */
 export type CallCounters = Record<CallKind, { sent: number; failed: number }>;
--- a/packages/store/src/utils/isNewer.ts
+++ b/packages/store/src/utils/isNewer.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a version of the store is newer than another; versions are decimal counters.
+ * Returns whether a version of the store is newer than another. Versions are decimal counters.
  *
  * @example
  * isNewer('10', '9'); // true
--- a/packages/store/src/utils/platformError.ts
+++ b/packages/store/src/utils/platformError.ts
@@ -1,11 +1,12 @@
-/** Errors of the platform layer. */
+/** Errors of calls to the platform. */
 
 import { LayerError } from '@flamingocourse/kernel';
 
 /**
- * `conflict`: another version is current. `exists`: the name is taken. `unreachable`: no usable
- * answer came. `too-large`: value or answer over the limit. `throttled`: over the platform's rates.
- * `invalid`: the value or the answer has the wrong shape. `too-old`: the version's history is gone.
+ * `conflict`: another version is current. `exists`: the name is in use. `unreachable`: no usable
+ * answer arrived. `too-large`: the value or the answer exceeds the limit. `throttled`: the platform's
+ * rate limit is exceeded. `invalid`: the value or the answer does not match its schema. `too-old`:
+ * the history no longer has the changes after the version.
  */
 export type PlatformErrorCode =
   | 'conflict'
@@ -17,20 +18,20 @@
   | 'invalid'
   | 'too-old';
 
-/** Whether a write that failed can have taken effect. */
+/** Whether a failed write may have taken effect. */
 export type WriteEffect = 'none' | 'unknown';
 
-/** Fault of a call to the platform. */
+/** Error of a call to the platform. */
 export class PlatformError extends LayerError<PlatformErrorCode> {
   override readonly layer = 'platform';
   /**
    * `unknown`: the write may have taken effect although its reply is missing; read the object again
-   * before the write is repeated. `none`: it provably had no effect. Reads always have `none`.
+   * before retrying. `none`: it certainly had no effect. Reads always have `none`.
    */
   readonly effect: WriteEffect;
-  /** Milliseconds after which the platform wants to be asked again. */
+  /** Delay before a retry that the platform asked for, in milliseconds. */
   readonly retryAfterMs: number | undefined;
-  /** On a conflict: the object as it is, unchecked, where the store told it with the refusal. */
+  /** On a conflict: the current object, not validated, if the store sent it with the refusal. */
   readonly current: { name: string; version: string; value: unknown } | undefined;
 
   constructor(
--- a/test/store/returnProbe.test.ts
+++ b/test/store/recoveryProbe.test.ts
@@ -2,27 +2,27 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { ObjectApiDialect } from '@flamingocourse/store';
-import { ReturnProbe } from '../../packages/store/src/node/returnProbe.js';
+import { RecoveryProbe } from '../../packages/store/src/node/recoveryProbe.js';
 import { connect, notes, startStandIn, until } from './fixtures.js';
 
 describe('a probe for the return of the store', () => {
-  const start = (): { probe: ReturnProbe; sent: () => number } => {
+  const start = (): { probe: RecoveryProbe; sent: () => number } => {
     let sent = 0;
     const send = (): void => {
       sent += 1;
     };
-    return { probe: new ReturnProbe({ send, random: () => 0.5 }), sent: () => sent };
+    return { probe: new RecoveryProbe({ send, random: () => 0.5 }), sent: () => sent };
   };
 
   test('is sent at once and each quarter of a second until the store answers', (t) => {
     t.mock.timers.enable({ apis: ['setTimeout'] });
     const { probe, sent } = start();
-    probe.suspect();
-    probe.suspect();
+    probe.recordFailure();
+    probe.recordFailure();
     assert.equal(sent(), 1);
     for (let n = 0; n < 4; n += 1) t.mock.timers.tick(250);
     assert.equal(sent(), 5);
-    probe.heard();
+    probe.recordAnswer();
     t.mock.timers.tick(1_000);
     assert.equal(sent(), 5);
   });
@@ -36,10 +36,10 @@
     test(`tells ${wasAway ? 'an outage' : 'no outage'} when ${name}`, (t) => {
       t.mock.timers.enable({ apis: ['setTimeout'] });
       const { probe } = start();
-      if (failed) probe.suspect();
+      if (failed) probe.recordFailure();
       t.mock.timers.tick(afterMs);
-      assert.equal(probe.heard(), wasAway);
-      assert.equal(probe.heard(), false);
+      assert.equal(probe.recordAnswer(), wasAway);
+      assert.equal(probe.recordAnswer(), false);
     });
   }
 });
