--- a/packages/mesh/src/node/meshClient.ts
+++ b/packages/mesh/src/node/meshClient.ts
@@ -1,4 +1,4 @@
-/** Calls to the procedures of peers. */
+/** Client for the procedures of peers. */
 
 import type { IncarnationId } from '@flamingocourse/core';
 import type { TRPCUntypedClient } from '@trpc/client';
@@ -16,25 +16,25 @@
 const defaultMaxPerPeer = 64;
 const socketsPerPeer = 8;
 const maxAnswerBytes = 16 * 1024 * 1024;
-/** Clients kept by address; far above the peers that one router talks to. */
-const maxClients = 512;
+/** Maximum number of cached clients; far above the number of peers that one router calls. */
+const maxCachedClients = 512;
 
 /** Options of the client. */
 export interface MeshClientOptions {
   secret?: string | undefined;
   /** Milliseconds for a whole call. @default 1000 */
   timeoutMs?: number;
-  /** Calls under way to one peer; more are refused without being sent. @default 64 */
+  /** Maximum number of calls in flight to one peer; further calls fail without being sent. @default 64 */
   maxPerPeer?: number;
-  /** IP address that connections come from. @default chosen by the system */
+  /** Local IP address of connections. @default chosen by the operating system */
   localAddress?: string;
 }
 
-/** Where a call goes. */
+/** Peer to call. */
 export interface MeshTarget {
   /** `http://host:port` of the peer's mesh listener. */
   meshUrl: string;
-  /** Life of the peer that the call is meant for; only heartbeats may leave it out. */
+  /** Incarnation of the peer that the call is meant for; optional only for heartbeats, loans and gossip. */
   incarnation?: IncarnationId;
 }
 
@@ -54,8 +54,8 @@
  *
  * @example
  * const mesh = new MeshClient({ timeoutMs: 500 });
- * const kept = await mesh.call(peer.info, 'keepLines', { lines });
- * if (kept.isErr && kept.error.code === 'refused') chooseAnotherWitness();
+ * const stored = await mesh.call(peer.info, 'keepLines', { lines });
+ * if (stored.isErr && stored.error.code === 'refused') chooseAnotherWitness();
  */
 export class MeshClient {
   readonly #options: MeshClientOptions;
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Ends all connections; later calls are refused without being sent. */
+  /** Closes all connections; later calls fail without being sent. */
   close(): void {
     this.#closed = true;
     this.#agent.destroy();
@@ -114,7 +114,7 @@
   #peerClient(meshUrl: string): PeerClient {
     const known = this.#clients.get(meshUrl);
     if (known) return known;
-    if (this.#clients.size >= maxClients) this.#dropIdleClients();
+    if (this.#clients.size >= maxCachedClients) this.#evictIdleClients();
     const created = { client: this.#createClient(meshUrl), running: 0 };
     this.#clients.set(meshUrl, created);
     return created;
@@ -136,7 +136,7 @@
     return createTRPCUntypedClient<MeshRouter>({ links: [link] });
   }
 
-  #dropIdleClients(): void {
+  #evictIdleClients(): void {
     for (const [url, { running }] of this.#clients) if (running === 0) this.#clients.delete(url);
   }
 }
@@ -151,7 +151,7 @@
   const message = `${procedure}: ${err instanceof Error ? err.message : String(err)}`;
   if (refusedCodes.includes(code)) return new MeshError('refused', message, { cause: err });
   if (invalidCodes.includes(code)) return new MeshError('invalid', message, { cause: err });
-  // a handler that threw may have done part of its work: nothing is known about the effect.
+  // a handler that threw may have done part of its work, so the effect is unknown.
   return new MeshError('unreachable', message, { cause: err });
 }
 
@@ -160,7 +160,7 @@
   return new MeshError(code, `${procedure}: ${cause.message}`, { cause });
 }
 
-/** Code of the error that the peer's tRPC server sent; empty when the answer was something else. */
+/** Code of the error that the peer's tRPC server sent; empty for any other answer. */
 function readCode(err: { data?: unknown }): string {
   const { data } = err;
   if (typeof data !== 'object' || data === null || !('code' in data)) return '';
--- a/packages/mesh/src/node/meshHeaders.ts
+++ b/packages/mesh/src/node/meshHeaders.ts
@@ -3,5 +3,5 @@
 /** Incarnation that a call is meant for, percent-encoded. */
 export const incarnationHeader = 'flamingocourse-incarnation';
 
-/** Shared secret of the deployment. */
+/** Secret that all routers of the deployment share. */
 export const secretHeader = 'flamingocourse-mesh-secret';
--- a/packages/mesh/src/node/meshServer.ts
+++ b/packages/mesh/src/node/meshServer.ts
@@ -1,4 +1,4 @@
-/** The mesh listener: serves the procedures that other services of this router have registered. */
+/** Mesh listener: serves the procedures that other services of this router register. */
 
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -14,12 +14,12 @@
 
 const defaultMaxBodyBytes = 4 * 1024 * 1024;
 const defaultMaxConcurrent = 256;
-/** Above the pause between two heartbeats to the same peer, so that connections are kept. */
+/** Longer than the interval between two heartbeats to the same peer, so that connections stay open. */
 const keepAliveTimeoutMs = 30_000;
 const headersTimeoutMs = 5_000;
 const requestTimeoutMs = 10_000;
 
-/** What a router says about itself; further members are for people. */
+/** Status of a router; fields other than `ready` are for operators to read. */
 export interface RouterStatusReport {
   ready: boolean;
   [detail: string]: unknown;
@@ -28,18 +28,18 @@
 /** Options of the mesh listener. */
 export interface MeshServerOptions {
   host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   port: number;
-  /** Shared by all routers of the deployment; calls without it are refused. */
+  /** Secret that all routers of the deployment share; calls without it are refused. */
   secret?: string | undefined;
   /** @default 4194304 */
   maxBodyBytes?: number;
-  /** Calls served at once; more are refused. @default 256 */
+  /** Maximum number of concurrent calls; further calls are refused. @default 256 */
   maxConcurrent?: number;
 }
 
 /**
- * Service `mesh`. Services register their handlers in their own start, before or after this one's.
+ * Service `mesh`. Other services register their handlers when they start, before or after this one.
  *
  * @example
  * const mesh = kernel.get('mesh', MeshServer);
@@ -59,30 +59,31 @@
     this.#options = options;
   }
 
-  /** Address of the listener; the port is known once started. */
+  /** URL of the listener. If the configured port is 0, the port is known only after the start. */
   get url(): string {
     const address = this.#server?.address() as AddressInfo | null | undefined;
     const port = address?.port ?? this.#options.port;
     return `http://${this.#options.host}:${String(port)}`;
   }
 
-  /** Registers who serves a procedure. Throws if it is taken. */
+  /** Registers the handler of a procedure. Throws if it already has one. */
   handle<P extends ProcedureName>(procedure: P, handler: MeshHandler<P>): void {
     if (this.#handlers[procedure]) {
-      throw new MeshError('invalid', `procedure "${procedure}" is served twice`);
+      throw new MeshError('invalid', `procedure "${procedure}" already has a handler`);
     }
     Object.assign(this.#handlers, { [procedure]: handler });
   }
 
   /**
-   * Sets what `GET /readyz` and `GET /status` answer. The instance list names this listener, so it
-   * is where operators can ask every router, without a secret, since nothing can be changed by it.
+   * Sets the status report that the listener returns for any GET request, such as `/readyz` and
+   * `/status`. Operators can query every router here, because the instance list contains this
+   * listener's URL. No secret is needed, because the request changes nothing.
    */
   reportStatus(report: () => RouterStatusReport): void {
     this.#reportStatus = report;
   }
 
-  /** Sets which incarnations are lives of this process; calls meant for others are refused. */
+  /** Sets the check for incarnations of this process; calls meant for other incarnations are refused. */
   recogniseSelf(isSelf: (incarnation: string) => boolean): void {
     this.#isSelf = isSelf;
   }
@@ -136,12 +137,12 @@
       this.#sendStatus(res);
       return;
     }
-    // bounded work: beyond this the caller is told at once that nothing was done.
+    // above the limit, the caller learns immediately that the call had no effect.
     if (this.#running >= (this.#options.maxConcurrent ?? defaultMaxConcurrent)) {
       res.writeHead(429, { connection: 'close' }).end();
       return;
     }
-    // peers have no use for the header, and heartbeats are short.
+    // peers do not use the Date header, and it would be a large part of a heartbeat.
     res.sendDate = false;
     this.#running += 1;
     res.once('close', () => {
--- a/packages/mesh/src/node/nodeFetch.ts
+++ b/packages/mesh/src/node/nodeFetch.ts
@@ -1,6 +1,6 @@
 /**
- * The part of `fetch` that the tRPC client needs, over `node:http` with kept-alive connections. It
- * costs about half the time of the built-in fetch here.
+ * The part of `fetch` that the tRPC client needs, over `node:http` with keep-alive connections. It
+ * takes about half the time of the built-in fetch.
  */
 
 import type { HTTPLinkOptions } from '@trpc/client';
@@ -9,7 +9,7 @@
 import type { MeshRouter } from '../runtime/meshRouter.js';
 import { exchange } from '@flamingocourse/kernel';
 
-/** A call that got no whole answer. */
+/** Error of a call that got no complete answer, or that the peer refused with status 429. */
 export class TransportError extends Error {
   constructor(
     readonly reason: 'broken' | 'too-large' | 'refused',
@@ -20,7 +20,7 @@
   }
 }
 
-/** Limits of one exchange. */
+/** Options of {@link createNodeFetch}. */
 export interface NodeFetchOptions {
   agent: Agent;
   maxAnswerBytes: number;
@@ -28,13 +28,13 @@
 
 const statusTooMany = 429;
 
-/** The client's own type of the function that it calls. */
+/** Type of the fetch function that the tRPC client accepts. */
 type FetchEsque = NonNullable<HTTPLinkOptions<MeshRouter['_def']['_config']['$types']>['fetch']>;
 
 type FetchAnswer = Awaited<ReturnType<FetchEsque>>;
 
 /**
- * Creates the function.
+ * Creates a fetch function for the tRPC client. It throws {@link TransportError}.
  *
  * @example
  * httpLink({ url, fetch: createNodeFetch({ agent, maxAnswerBytes: 1_048_576 }) });
--- a/packages/mesh/src/runtime/heartbeatCodec.ts
+++ b/packages/mesh/src/runtime/heartbeatCodec.ts
@@ -1,6 +1,6 @@
 /**
- * Short form of heartbeats. They are nearly all of the traffic of a fleet at rest, and the names of
- * their members took more bytes than the values.
+ * Compact encoding of heartbeats. They are nearly all of the traffic of an idle fleet, and as JSON
+ * objects their field names took more bytes than the values.
  */
 
 import type { IncarnationId, MemberInfo } from '@flamingocourse/core';
@@ -10,7 +10,7 @@
 
 /**
  * A member: incarnation, mesh URL, entry URL, state (0 starting, 1 serving, 2 leaving), beat and
- * revision; then data centre and instance, where the incarnation does not spell them.
+ * revision; then data centre and instance, unless both can be read from the incarnation.
  */
 export type PackedMember = [
   incarnation: IncarnationId,
@@ -25,18 +25,18 @@
 /** Incarnation, beat and age in milliseconds. */
 export type PackedBeat = [incarnation: IncarnationId, beat: number, ageMs: number];
 
-/** A heartbeat as it is sent. */
+/** A heartbeat in its encoding on the wire. */
 export interface PackedHeartbeat {
   /** The sender. */
   i: PackedMember;
-  /** Beats of others. */
+  /** Beats of other members. */
   d?: PackedBeat[];
-  /** Introduced members. */
+  /** Members that the receiver may not know. */
   m?: PackedMember[];
 }
 
 /**
- * Packs a heartbeat.
+ * Encodes a heartbeat.
  *
  * @example
  * await client.call({ meshUrl }, 'heartbeat', packHeartbeat(message));
@@ -54,7 +54,7 @@
   };
 }
 
-/** Unpacks a heartbeat; the inverse of {@link packHeartbeat}. */
+/** Decodes a heartbeat; the inverse of {@link packHeartbeat}. */
 export function unpackHeartbeat({ i, d = [], m = [] }: PackedHeartbeat): HeartbeatMessage {
   return {
     info: unpackMember(i),
@@ -66,9 +66,9 @@
 function packMember(info: MemberInfo): PackedMember {
   const { incarnation, meshUrl, entryUrl, beat, revision, dataCentre, instance } = info;
   const state = states.indexOf(info.state);
-  const [spelledCentre, spelledInstance] = splitIncarnation(incarnation);
-  const isSpelled = spelledCentre === dataCentre && spelledInstance === instance;
-  const names = isSpelled ? [] : [dataCentre, instance];
+  const [impliedDataCentre, impliedInstance] = splitIncarnation(incarnation);
+  const areNamesImplied = impliedDataCentre === dataCentre && impliedInstance === instance;
+  const names = areNamesImplied ? [] : [dataCentre, instance];
   return [incarnation, meshUrl, entryUrl, state, beat, revision, ...names];
 }
 
@@ -79,7 +79,7 @@
   return { incarnation, dataCentre, instance, meshUrl, entryUrl, state: stateName, beat, revision };
 }
 
-/** Data centre and instance of `{dataCentre}/{instance}/{life}`. */
+/** Data centre and instance of an incarnation `{dataCentre}/{instance}/{id of the start}`. */
 function splitIncarnation(incarnation: IncarnationId): string[] {
   return incarnation.split('/').slice(0, 2);
 }
--- a/packages/mesh/src/runtime/meshRouter.ts
+++ b/packages/mesh/src/runtime/meshRouter.ts
@@ -1,28 +1,28 @@
-/** The tRPC router of a router's mesh listener: mutations only, because batched queries go into URLs. */
+/** tRPC router of the mesh listener. It has only mutations, because tRPC puts the input of queries into URLs. */
 
 import type { MeshHandler, ProcedureName } from '../types/procedures.js';
 import { initTRPC, TRPCError } from '@trpc/server';
 import { inputSchemas } from './schemas.js';
 
-/** What is known of a call before its procedure runs. */
+/** Context of a call, read from its headers. */
 export interface MeshCallContext {
-  /** Whether the shared secret matched, or none is set. */
+  /** Whether the shared secret matches or none is configured. */
   trusted: boolean;
-  /** Incarnation that the call is meant for. */
+  /** Incarnation that the call is meant for; undefined if the call does not state one. */
   to: string | undefined;
 }
 
-/** What the procedures need from their server. */
+/** Dependencies of the procedures. */
 export interface MeshRouterPorts {
-  /** Finds the handler of a procedure. */
+  /** Returns the handler of a procedure, if it is registered. */
   handler<P extends ProcedureName>(procedure: P): MeshHandler<P> | undefined;
-  /** Whether an incarnation is a life of this very process. */
+  /** Whether an incarnation belongs to this process. */
   isSelf(incarnation: string): boolean;
 }
 
 const trpc = initTRPC.context<MeshCallContext>().create({ isDev: false });
 
-/** Builds the router over handlers that may be registered later. */
+/** Creates the router; handlers may be registered later. */
 export function createMeshRouter(ports: MeshRouterPorts) {
   return trpc.router({
     heartbeat: createProcedure(ports, 'heartbeat'),
@@ -43,32 +43,41 @@
 function createProcedure<P extends ProcedureName>(ports: MeshRouterPorts, procedure: P) {
   return trpc.procedure.input(inputSchemas[procedure]).mutation(async ({ ctx, input }) => {
     if (!ctx.trusted) throw refusal('UNAUTHORIZED', 'the mesh secret does not match');
-    checkAddressee(ports, procedure, ctx.to);
+    checkRecipient(ports, procedure, ctx.to);
     const handler = ports.handler(procedure);
-    if (!handler) throw refusal('PRECONDITION_FAILED', `${procedure} is not served here yet`);
+    if (!handler) throw refusal('PRECONDITION_FAILED', `${procedure} has no handler yet`);
     const result = await handler(input);
     if (result.isErr) throw refusal('PRECONDITION_FAILED', result.error);
     return result.value;
   });
 }
 
-/** Procedures that need no addressee: a heartbeat teaches incarnations, a loan request names its lender's, news are for all. */
-const UNADDRESSED: ReadonlySet<ProcedureName> = new Set(['heartbeat', 'borrow', 'exchangeNews']);
+/**
+ * Procedures that may omit the recipient's incarnation: heartbeats are how incarnations become known,
+ * a loan request contains its lender's incarnation, and gossip is meant for any process.
+ */
+const RECIPIENT_OPTIONAL: ReadonlySet<ProcedureName> = new Set([
+  'heartbeat',
+  'borrow',
+  'exchangeNews',
+]);
 
 /**
- * A process that was replaced under the same address has none of its predecessor's memory. Were it
- * to answer "I kept no lines" in the predecessor's place, a holder would be sealed without bills
- * that its callers have seen. So a call names the incarnation it is meant for; only a heartbeat,
- * which is how incarnations are learned, may leave it out.
+ * Refuses a call that is meant for another incarnation. A new process at the address of an earlier one
+ * does not have that one's memory. If it answered "no lines stored" as a witness in its place, a
+ * holder would be sealed without bills that its callers have already seen.
  */
-function checkAddressee(
+function checkRecipient(
   ports: MeshRouterPorts,
   procedure: ProcedureName,
   to: string | undefined,
 ): void {
-  if (to === undefined && UNADDRESSED.has(procedure)) return;
+  if (to === undefined && RECIPIENT_OPTIONAL.has(procedure)) return;
   if (to !== undefined && ports.isSelf(to)) return;
-  throw refusal('PRECONDITION_FAILED', `this process is not ${to ?? 'named in the call'}`);
+  throw refusal(
+    'PRECONDITION_FAILED',
+    `this process is not ${to ?? 'the recipient: the call states none'}`,
+  );
 }
 
 function refusal(code: 'UNAUTHORIZED' | 'PRECONDITION_FAILED', message: string): TRPCError {
--- a/packages/mesh/src/runtime/schemas.ts
+++ b/packages/mesh/src/runtime/schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of the inputs that peers send. All lists and texts are bounded. */
+/** Schemas of the inputs that peers send. The length of every list and text is bounded. */
 
 import type {
   Bill,
@@ -17,17 +17,17 @@
 
 const maxIdLength = 300;
 const maxLines = 5_000;
-/** Members named in one heartbeat or witness line. */
+/** Maximum number of members in one heartbeat or witness line. */
 const maxMembers = 64;
 const maxHints = 32;
-/** Accounts that one instance asks for. */
+/** Maximum number of accounts in one loan request. */
 const maxAccounts = 50_000;
 const maxHintLength = 65_536;
-/** Requests of one instance in flight at one server. */
+/** Maximum number of requests that one instance has in flight at one server. */
 const maxInFlight = 1_024;
 const maxFingerprintLength = 64;
-/** Base64 of a kept answer; the body limit of the whole call is tighter still. */
-const maxKeptAnswerLength = 2 * 1024 * 1024;
+/** Maximum length of a stored answer in base64. The body limit applies to the whole call in addition. */
+const maxStoredAnswerLength = 2 * 1024 * 1024;
 
 const id = z.string().min(1).max(maxIdLength);
 const count = z.number().int().min(0);
@@ -53,7 +53,7 @@
   ticket: count,
   status: count,
   contentType: z.string().max(maxIdLength),
-  body: z.string().max(maxKeptAnswerLength).exactOptional(),
+  body: z.string().max(maxStoredAnswerLength).exactOptional(),
   at: z.number(),
 });
 
@@ -90,7 +90,7 @@
   m: z.array(packedMemberSchema).max(maxMembers).exactOptional(),
 });
 
-const held = z.number().min(0);
+const nonNegative = z.number().min(0);
 
 const loanRequestSchema: ZodType<LoanRequest> = z.object({
   lender: id.optional(),
@@ -101,17 +101,22 @@
     last: z.boolean(),
     entries: z.record(
       id,
-      z.object({ spent: held, keeps: held, wants: held, rate: z.number().min(0) }),
+      z.object({
+        spent: nonNegative,
+        keeps: nonNegative,
+        wants: nonNegative,
+        rate: z.number().min(0),
+      }),
     ),
   }),
-  urgent: z.record(id, held),
-  typicalRequest: held,
+  urgent: z.record(id, nonNegative),
+  typicalRequest: nonNegative,
   interest: z.array(id).max(maxAccounts),
 });
 
 const fingerprint = z.string().min(1).max(maxFingerprintLength);
 
-const newsSchema: ZodType<GossipFact> = z.discriminatedUnion('type', [
+const gossipFactSchema: ZodType<GossipFact> = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('crashed'),
     server: id,
@@ -120,11 +125,11 @@
   z.object({ type: z.literal('finished'), fingerprint }),
 ]);
 
-const newsMessageSchema: ZodType<GossipMessage> = z.object({
+const gossipMessageSchema: ZodType<GossipMessage> = z.object({
   from: id,
   known: z.record(id, count),
   items: z
-    .array(z.object({ origin: id, seq: count, ageMs: z.number().min(0), news: newsSchema }))
+    .array(z.object({ origin: id, seq: count, ageMs: z.number().min(0), news: gossipFactSchema }))
     .max(MAX_FACTS_PER_MESSAGE),
 });
 
@@ -137,7 +142,7 @@
   recall: z.object({ account: id, amount: tokens.min(0), forDataCentre: id }),
   pullConfiguration: z.object({ since: count }),
   borrow: loanRequestSchema,
-  exchangeNews: newsMessageSchema,
+  exchangeNews: gossipMessageSchema,
   shareHints: z.object({
     hints: z.array(z.object({ topic: id, body: z.string().max(maxHintLength) })).max(maxHints),
   }),
--- a/packages/mesh/src/types/heartbeat.ts
+++ b/packages/mesh/src/types/heartbeat.ts
@@ -1,19 +1,19 @@
-/** What routers tell each other of their life. */
+/** Heartbeat messages between routers. */
 
 import type { IncarnationId, MemberInfo } from '@flamingocourse/core';
 
-/** Second-hand evidence that a member lives; a higher beat is newer. */
+/** Indirect evidence that a member is alive; a higher beat is newer. */
 export interface MemberBeat {
   incarnation: IncarnationId;
   beat: number;
-  /** Milliseconds since the sender had evidence. */
+  /** Milliseconds since the sender received the evidence. */
   ageMs: number;
 }
 
-/** What one router tells another at each beat, and gets as the answer. */
+/** Message that a router sends at each heartbeat; the answer has the same form. */
 export interface HeartbeatMessage {
   info: MemberInfo;
-  /** Some members that the sender takes as alive. */
+  /** Some of the members that the sender considers alive. */
   digest: MemberBeat[];
   /** Members that the receiver may not know. */
   members: MemberInfo[];
--- a/packages/mesh/src/types/procedures.ts
+++ b/packages/mesh/src/types/procedures.ts
@@ -1,4 +1,4 @@
-/** Procedures that routers offer each other: inputs, outputs and handlers. */
+/** Procedures that routers call at each other: inputs, outputs and handlers. */
 
 import type {
   AccountId,
@@ -15,37 +15,37 @@
 import type { Result } from 'true-myth';
 import type { PackedHeartbeat } from '../runtime/heartbeatCodec.js';
 
-/** Information that only reduces refusals or shortens recovery; losing it harms no promise. */
+/** Information that reduces refusals or shortens recovery; its loss breaks no guarantee. */
 export interface Hint {
-  /** Names the receiver inside the router, such as `quarantine`. */
+  /** Selects the receiver inside the router, such as `quarantine`. */
   topic: string;
-  /** JSON text that the receiver understands. */
+  /** JSON text in the receiver's format. */
   body: string;
 }
 
 /** Input and output of each procedure. */
 export interface MeshProcedures {
-  /** Sign of life. */
+  /** Exchanges heartbeats. */
   heartbeat: { input: PackedHeartbeat; output: PackedHeartbeat };
-  /** Asks the committer of the data centre to put lines into the journal. */
+  /** Asks the committer of the data centre to append lines to the journal. */
   appendLines: {
     input: { lines: JournalLine[] };
     output: { version: string; state: JournalState };
   };
-  /** Asks a witness to keep lines in memory. */
+  /** Asks a witness to store lines in memory. */
   keepLines: { input: { lines: JournalLine[] }; output: 'kept' };
-  /** Asks a witness to keep nothing more for a holder and to return what it kept. */
+  /** Asks a witness to accept no more lines of a holder and to return those that it stored. */
   fenceHolder: { input: { holder: IncarnationId }; output: { lines: JournalLine[] } };
-  /** Asks a peer to give idle tokens of an account back, for the use of a data centre. */
+  /** Asks a peer to give back idle tokens of an account, for use by a data centre. */
   recall: {
     input: { account: AccountId; amount: Tokens; forDataCentre: DataCentreId };
     output: { amount: Tokens };
   };
-  /** Asks for what changed in the configuration after the revision `since`. */
+  /** Requests the changes of the configuration after the revision `since`. */
   pullConfiguration: { input: { since: number }; output: ConfigurationUpdate };
-  /** Asks a lender for tokens of prepaid budgets; the request itself names the lender's life. */
+  /** Asks a lender for tokens of prepaid budgets; the request contains the lender's incarnation. */
   borrow: { input: LoanRequest; output: LoanAnswer };
-  /** Tells news of the fleet and asks for what the caller lacks; news name the process that they come from. */
+  /** Sends gossip and requests the facts that the caller is missing; each fact contains its origin. */
   exchangeNews: { input: GossipMessage; output: GossipMessage };
   shareHints: { input: { hints: Hint[] }; output: 'taken' };
 }
@@ -57,8 +57,8 @@
 export type ProcedureOutput<P extends ProcedureName> = MeshProcedures[P]['output'];
 
 /**
- * Serves a procedure. An error is a sentence why the call had no effect and will have none; it
- * reaches the caller as `refused`. A handler that throws leaves the effect unknown.
+ * Serves a procedure. A returned error is a sentence that says why the call had no effect and will
+ * have none; the caller gets it as `refused`. If a handler throws, the effect is unknown.
  */
 export type MeshHandler<P extends ProcedureName> = (
   input: ProcedureInput<P>,
--- a/packages/mesh/src/utils/meshError.ts
+++ b/packages/mesh/src/utils/meshError.ts
@@ -1,14 +1,14 @@
-/** Errors of the mesh layer. */
+/** Errors of calls between routers. */
 
 import { LayerError } from '@flamingocourse/kernel';
 
 /**
- * `unreachable`, `timeout`: no usable answer came; the peer may have done it. `refused`: the peer did
- * not do it and will not. `invalid`: the input was not understood; nothing was done.
+ * `unreachable`, `timeout`: no usable answer arrived; the call may have taken effect. `refused`: the
+ * call had no effect and will have none. `invalid`: the input was not accepted; the call had no effect.
  */
 export type MeshErrorCode = 'unreachable' | 'timeout' | 'refused' | 'invalid';
 
-/** Fault of a call to a peer. */
+/** Error of a call to a peer. */
 export class MeshError extends LayerError<MeshErrorCode> {
   override readonly layer = 'mesh';
 }
