--- a/packages/kernel/src/node/eventLog.ts
+++ b/packages/kernel/src/node/eventLog.ts
@@ -1,4 +1,4 @@
-/** Structured log of numbered events, by winston. */
+/** Structured log of numbered events, written with winston. */
 
 import type { EventName } from '../runtime/eventCatalogue.js';
 import { Writable } from 'node:stream';
@@ -6,44 +6,44 @@
 import winston from 'winston';
 import { eventCatalogue } from '../runtime/eventCatalogue.js';
 
-/** Values that belong to one occurrence of an event. */
+/** Fields of one occurrence of an event. */
 export type EventFields = Record<string, string | number | boolean | undefined>;
 
-/** Where events go. */
+/** Log that events are written to. */
 export abstract class EventLog {
   abstract write(event: EventName, fields?: EventFields): void;
 
-  /** Lines dropped so far because nobody read them in time. */
+  /** Number of lines dropped so far because the output was not read fast enough. */
   abstract readonly dropped: number;
 
-  /** Resolves once the lines that wait are written, or nobody has read them in time; for the end of a process. */
+  /** Resolves when the buffered lines are written, or after a timeout. Call it before the process exits. */
   abstract close(): Promise<void>;
 }
 
 /** Options of the winston log. */
 export interface EventLogOptions {
-  /** Least severe level that is written. @default 'info' */
+  /** Lowest severity that is written. @default 'info' */
   level?: 'error' | 'warn' | 'info' | 'debug';
   /** Fields added to every line, such as the instance name. */
   defaults?: EventFields;
-  /** Where lines go. @default 'stderr' */
+  /** Stream that lines are written to. @default 'stderr' */
   output?: LogOutput;
 }
 
 /**
- * `stderr`: written at once, which blocks while nobody reads. `stdout`: written in the background;
- * lines that find the bounded buffer full are dropped and counted.
+ * `stderr`: written immediately, which blocks the process while a full pipe is not read. `stdout`:
+ * written in the background; when the bounded buffer is full, lines are dropped and counted.
  */
 export type LogOutput = 'stderr' | 'stdout';
 
-/** Bytes of lines that wait to be written; some seconds of a busy process. */
-const MAX_WAITING_BYTES = 1024 * 1024;
+/** Maximum size of the buffer in bytes; holds some seconds of a busy process's log. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 const STDOUT_FD = 1;
-/** Milliseconds that a process which ends waits for its last lines to be read. */
-const CLOSE_MS = 200;
+/** Maximum time that a stopping process waits for its last lines to be read, in milliseconds. */
+const CLOSE_TIMEOUT_MS = 200;
 
 /**
- * Writes one JSON object a line.
+ * Writes each event as one line with a JSON object.
  *
  * @example
  * const log = new WinstonEventLog({ level: 'info', defaults: { instance: 'router-1' } });
@@ -83,18 +83,18 @@
     const output = this.#background;
     if (!output) return Promise.resolve();
     return new Promise((resolve) => {
-      setTimeout(resolve, CLOSE_MS);
-      // comes with the end of each batch of lines; sonic-boom's own flush does not wait for one on its way.
+      setTimeout(resolve, CLOSE_TIMEOUT_MS);
+      // emitted when the buffer is empty; sonic-boom's own flush does not wait for a write in progress.
       output.once('drain', resolve);
     });
   }
 
-  // a reader that stops reading must not stop the requests: a write to a full pipe would block.
+  // a synchronous write to a full pipe would block all requests when the reader stops reading.
   #createBackgroundTransport(): winston.transport {
     const output = new sonicBoom.SonicBoom({
       fd: STDOUT_FD,
       sync: false,
-      maxLength: MAX_WAITING_BYTES,
+      maxLength: MAX_BUFFERED_BYTES,
     });
     this.#background = output;
     output.on('drop', () => {
@@ -103,11 +103,11 @@
     output.on('error', () => {
       this.#dropped += 1;
     });
-    let told = 0;
+    let reportedDropped = 0;
     output.on('drain', () => {
-      if (this.#dropped === told) return;
-      told = this.#dropped;
-      this.write('log-lines-dropped', { dropped: told });
+      if (this.#dropped === reportedDropped) return;
+      reportedDropped = this.#dropped;
+      this.write('log-lines-dropped', { dropped: reportedDropped });
     });
     const stream = new Writable({
       decodeStrings: false,
@@ -128,7 +128,7 @@
   return transport as winston.transport;
 }
 
-/** Keeps events in memory, for tests. */
+/** Collects events in memory; for tests. */
 export class MemoryEventLog extends EventLog {
   override readonly dropped = 0;
   readonly events: { event: EventName; fields: EventFields }[] = [];
--- a/packages/kernel/src/node/httpExchange.ts
+++ b/packages/kernel/src/node/httpExchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP exchange with a bounded answer, over a kept-alive connection. */
+/** HTTP exchanges with a bounded answer, over keep-alive connections. */
 
 import type { Agent, IncomingHttpHeaders } from 'node:http';
 import { request } from 'node:http';
@@ -11,30 +11,30 @@
   url: URL;
   /** JSON text. */
   body?: string;
-  /** Further headers. */
+  /** Additional headers. */
   headers?: Record<string, string>;
-  /** Milliseconds for the whole exchange. @default none: `signal` ends it */
+  /** Timeout of the whole exchange in milliseconds. @default none; `signal` can abort it */
   timeoutMs?: number;
   maxAnswerBytes: number;
   agent: Agent;
   signal?: AbortSignal | undefined;
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface HttpAnswer {
   status: number;
   headers: IncomingHttpHeaders;
   body: string;
 }
 
-/** Why no whole answer came. */
+/** Why there is no complete answer. */
 export interface TransportFault {
   reason: 'timeout' | 'aborted' | 'broken' | 'too-large';
   cause?: unknown;
 }
 
 /**
- * Sends a request and reads the whole answer.
+ * Sends a request and reads the whole answer. Never rejects.
  *
  * @example
  * const answer = await exchange({ method: 'GET', url, timeoutMs: 1_500, maxAnswerBytes, agent });
@@ -52,7 +52,7 @@
       finish(Result.err({ reason, cause }));
       req.destroy();
     };
-    // one timer over the whole exchange: a peer that sends a byte now and then is also cut off.
+    // one timer for the whole exchange, so that a peer that sends single bytes slowly also times out.
     const stopTimer = onTimeOver(call.timeoutMs, () => {
       fail('timeout');
     });
--- a/packages/kernel/src/node/metrics.ts
+++ b/packages/kernel/src/node/metrics.ts
@@ -1,11 +1,11 @@
-/** Metrics by hot-shots (StatsD over UDP). */
+/** Metrics, sent with hot-shots (StatsD over UDP). */
 
 import type { MetricName } from '../runtime/metricCatalogue.js';
 import { StatsD } from 'hot-shots';
 
 export type MetricTags = Record<string, string>;
 
-/** Where metrics go. */
+/** Sink for metrics. */
 export abstract class Metrics {
   abstract count(name: MetricName, by?: number, tags?: MetricTags): void;
   abstract gauge(name: MetricName, value: number, tags?: MetricTags): void;
@@ -13,14 +13,14 @@
   abstract close(): Promise<void>;
 }
 
-/** Where the StatsD agent listens. */
+/** Options of {@link StatsdMetrics}. */
 export interface StatsdOptions {
   host: string;
   port: number;
   tags?: MetricTags;
 }
 
-/** Sends metrics to a StatsD agent. A lost datagram or an absent agent harms nothing. */
+/** Sends metrics to a StatsD agent. Lost datagrams and a missing agent are ignored. */
 export class StatsdMetrics extends Metrics {
   readonly #client: StatsD;
 
--- a/packages/kernel/src/node/pendingReads.ts
+++ b/packages/kernel/src/node/pendingReads.ts
@@ -1,8 +1,8 @@
-/** Waiting for what has arrived at this process and was not read yet. */
+/** Waits for data that the operating system has received but this process has not read yet. */
 
 /**
- * Resolves once each connection that had something to be read has been read again. The event loop reads
- * what a caller sent and the end of its connection one after the other, in two of its turns.
+ * Resolves when each connection with unread data has been read again. It waits for two iterations of
+ * the event loop: what a caller sent and the end of its connection are read in separate iterations.
  *
  * @example
  * await pendingReads();
--- a/packages/kernel/src/node/timeLimit.ts
+++ b/packages/kernel/src/node/timeLimit.ts
@@ -1,23 +1,23 @@
-/** Bounds on how long something is waited for. */
+/** Timeouts that do not expire for data that has arrived but is not read yet. */
 
 import { pendingReads } from './pendingReads.js';
 
-/** A signal with the timer behind it. */
+/** An abort signal with a timeout. */
 export interface TimeLimit {
-  /** Aborted when the time is over, or with the signal that was given. */
+  /** Aborted when the time limit expires, or when the caller's signal is aborted. */
   readonly signal: AbortSignal;
-  /** Whether the time is over. */
+  /** Whether the time limit has expired. */
   readonly isOver: boolean;
   /** Stops the timer. */
   end(): void;
 }
 
 /**
- * Calls back once the time is over and all that had arrived by then was read. The event loop looks at its timers
- * first: in a process that is behind, what was waited for may have arrived long before.
+ * Calls the listener when the time is over and all data that had arrived by then was read. The event
+ * loop runs timers before it reads: if the loop lags, the awaited data may have arrived long before.
  *
- * @param ms undefined for no limit.
- * @returns stops the timer.
+ * @param ms Undefined for no timeout.
+ * @returns A function that stops the timer.
  * @example
  * const stop = onTimeOver(1_500, () => fail('timeout'));
  * req.on('response', stop);
@@ -57,7 +57,7 @@
   };
 }
 
-/** Resolves when a signal is aborted; at once where it is already. */
+/** Resolves when a signal is aborted; immediately if it already is. */
 export function aborted(signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal.aborted) resolve();
--- a/packages/kernel/src/runtime/channel.ts
+++ b/packages/kernel/src/runtime/channel.ts
@@ -1,18 +1,18 @@
 /**
- * Typed channels and processes over js-csp. This is the only module that touches the library.
+ * Typed channels and processes on top of js-csp. Only this module uses the library.
  *
  * A process is a generator that uses `yield*` with {@link take}, {@link put}, {@link sleep} and
- * {@link awaitPromise}. js-csp swallows what a process throws; {@link startProcess} catches it and
- * hands it to the failure handler, so that a dead process is always seen.
+ * {@link awaitPromise}. js-csp discards errors that a process throws; {@link startProcess} catches
+ * them and passes them to the failure handler, so that the end of a process is never hidden.
  */
 
 import type { AltResult, RawChannel } from 'js-csp';
 import csp from 'js-csp';
 
-/** What happens to a value offered to a full channel. */
+/** What happens when a value is offered to a full channel. */
 export type OverflowRule = 'refuse' | 'drop-newest' | 'drop-oldest';
 
-/** Steps of a process; the library resumes it with the result of each. */
+/** Generator of a process; the library resumes it with the result of each step. */
 export type Steps<T> = Generator<unknown, T, unknown>;
 
 /**
@@ -29,12 +29,12 @@
     this.raw = csp.chan(createBuffer(capacity, overflow));
   }
 
-  /** Adds a value if there is room; never waits. Returns whether it was taken in. */
+  /** Adds a value without waiting. Returns whether the channel accepted it. */
   offer(value: T & NonNullable<unknown>): boolean {
     return !this.raw.isClosed() && csp.offer(this.raw, value);
   }
 
-  /** Waits for a value outside a process; `undefined` once the channel is closed and empty. */
+  /** Takes the next value from outside a process; `undefined` if the channel is closed and empty. */
   async next(): Promise<T | undefined> {
     return new Promise((resolve) => {
       csp.takeAsync(this.raw, (value) => {
@@ -43,7 +43,7 @@
     });
   }
 
-  /** Values already in the channel can still be taken. */
+  /** Closes the channel; values that it already contains can still be taken. */
   close(): void {
     this.raw.close();
   }
@@ -53,7 +53,7 @@
   }
 }
 
-/** Takes the next value; `undefined` once the channel is closed and empty. */
+/** Takes the next value; `undefined` if the channel is closed and empty. */
 export function* take<T>(channel: Channel<T>): Steps<T | undefined> {
   const value = yield csp.take(channel.raw);
   return value === csp.CLOSED ? undefined : (value as T);
@@ -62,7 +62,7 @@
 /** Result of {@link takeWithin}. */
 export type TimedTake<T> = { type: 'value'; value: T } | { type: 'timeout' } | { type: 'closed' };
 
-/** Takes the next value or gives up after `ms` milliseconds. */
+/** Takes the next value, with a timeout of `ms` milliseconds. */
 export function* takeWithin<T>(channel: Channel<T>, ms: number): Steps<TimedTake<T>> {
   const operations = [channel.raw, csp.timeout(ms)];
   const result = (yield csp.alts(operations, { priority: true })) as AltResult;
@@ -71,7 +71,7 @@
   return { type: 'value', value: result.value as T };
 }
 
-/** Puts a value, waiting while the channel is full. Returns false if the channel is closed. */
+/** Puts a value; waits while the channel is full. Returns false if the channel is closed. */
 export function* put<T>(channel: Channel<T>, value: T & NonNullable<unknown>): Steps<boolean> {
   return (yield csp.put(channel.raw, value)) as boolean;
 }
@@ -83,7 +83,7 @@
 
 type Settled<T> = { ok: true; value: T } | { ok: false; err: unknown };
 
-/** Waits for a promise; throws inside the process what the promise rejects with. */
+/** Waits for a promise; if it rejects, throws the reason inside the process. */
 export function* awaitPromise<T>(promise: Promise<T>): Steps<T> {
   const settled = csp.promiseChan();
   const settle = (result: Settled<T>): void => {
@@ -103,7 +103,7 @@
 }
 
 /**
- * Starts a process. The promise resolves when the body ends, also after a failure, which goes to
+ * Starts a process. The promise resolves when the body ends, also if it throws; the error is passed to
  * `onFailure`.
  *
  * @example
--- a/packages/kernel/src/runtime/clock.ts
+++ b/packages/kernel/src/runtime/clock.ts
@@ -1,11 +1,11 @@
-/** Source of the present time, so that tests and measurements can supply their own. */
+/** Sources of the current time, so that tests and measurements can supply their own. */
 
-/** A clock in milliseconds since the epoch. */
+/** A clock in milliseconds; {@link MonotonicClock} has another origin than the epoch. */
 export abstract class Clock {
   abstract now(): number;
 }
 
-/** The machine's clock. */
+/** The system clock, in milliseconds since the epoch. */
 export class SystemClock extends Clock {
   override now(): number {
     return Date.now();
@@ -13,8 +13,8 @@
 }
 
 /**
- * Milliseconds since the process started, unmoved by changes of the time of day. For processes whose
- * every use of time is a duration.
+ * Milliseconds since the process started, not affected by changes of the system clock. For processes
+ * that use time only to measure durations.
  */
 export class MonotonicClock extends Clock {
   override now(): number {
@@ -22,7 +22,7 @@
   }
 }
 
-/** A clock that moves only when told to. */
+/** A clock that advances only through {@link ManualClock.advance}; for tests. */
 export class ManualClock extends Clock {
   #now: number;
 
--- a/packages/kernel/src/runtime/kernel.ts
+++ b/packages/kernel/src/runtime/kernel.ts
@@ -1,10 +1,10 @@
-/** Micro-kernel: services register under a name, find each other by name, start and stop in order. */
+/** Micro-kernel: services register under a name, find each other by name, and start and stop in order. */
 
 import { LayerError } from '../utils/layerError.js';
 
 export type KernelErrorCode = 'unknown-service' | 'duplicate-service' | 'cycle' | 'start-failed';
 
-/** Fault in the wiring of services. */
+/** Error in the registration, dependencies or start of services. */
 export class KernelError extends LayerError<KernelErrorCode> {
   override readonly layer = 'kernel';
 }
@@ -44,7 +44,7 @@
   #started: Service[] = [];
   #onFailure: (err: unknown, service: string) => void = defaultOnFailure;
 
-  /** Adds a service. Throws `duplicate-service` when the name is taken. */
+  /** Adds a service. Throws `duplicate-service` if the name is already registered. */
   register(service: Service): this {
     if (this.#services.has(service.name)) {
       throw new KernelError('duplicate-service', `service "${service.name}" is registered twice`);
@@ -60,17 +60,17 @@
     throw new KernelError('unknown-service', `no service "${name}" of type ${type.name}`);
   }
 
-  /** Sets what happens when a running service reports a failure of its own. */
+  /** Sets the handler for failures that running services report. */
   onFailure(handler: (err: unknown, service: string) => void): void {
     this.#onFailure = handler;
   }
 
-  /** Called by services whose background work failed, so that a failure never vanishes. */
+  /** Reports a failure of a service's background work, so that it is not lost. */
   reportFailure(err: unknown, service: string): void {
     this.#onFailure(err, service);
   }
 
-  /** Starts all services, dependencies first. On a failure stops those already started. */
+  /** Starts all services, dependencies first. If one fails, stops those already started and throws. */
   async start(): Promise<void> {
     for (const service of this.#startOrder()) {
       try {
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Stops all started services in reverse order; a failing one does not keep the others running. */
+  /** Stops all started services in reverse order; if one fails, the others are still stopped. */
   async stop(): Promise<void> {
     const started = this.#started.reverse();
     this.#started = [];
@@ -101,14 +101,14 @@
   #startOrder(): Service[] {
     const order: Service[] = [];
     const state = new Map<string, 'visiting' | 'done'>();
-    const visit = (name: string, wantedBy: string): void => {
+    const visit = (name: string, dependent: string): void => {
       if (state.get(name) === 'done') return;
       if (state.get(name) === 'visiting') {
         throw new KernelError('cycle', `services depend on each other in a cycle at "${name}"`);
       }
       const service = this.#services.get(name);
       if (!service) {
-        throw new KernelError('unknown-service', `"${wantedBy}" depends on unknown "${name}"`);
+        throw new KernelError('unknown-service', `"${dependent}" depends on unknown "${name}"`);
       }
       state.set(name, 'visiting');
       for (const dependency of service.dependsOn) visit(dependency, name);
--- a/packages/kernel/src/types/jsCsp.d.ts
+++ b/packages/kernel/src/types/jsCsp.d.ts
@@ -1,4 +1,4 @@
-/** Types of the part of js-csp that the channel module uses; the library ships none. */
+/** Types for the part of js-csp that the channel module uses; the library has no type declarations. */
 declare module 'js-csp' {
   interface RawChannel {
     close(): void;
--- a/packages/kernel/src/utils/layerError.ts
+++ b/packages/kernel/src/utils/layerError.ts
@@ -1,7 +1,7 @@
-/** Base of all error classes: each layer has its own subclass and wraps errors from below. */
+/** Base of all error classes. Each layer has its own subclass and wraps errors of lower layers. */
 
 /**
- * An error that belongs to one layer, with a code from a closed set and the cause from below.
+ * An error of one layer, with a code from a closed set and, as its cause, the error of a lower layer.
  *
  * @example
  * class PlatformError extends LayerError<'conflict' | 'unreachable'> {
@@ -21,7 +21,7 @@
   }
 }
 
-/** Turns any thrown value into text for a log line. */
+/** Formats any thrown value, with its causes, for a log line. */
 export function describeError(err: unknown): string {
   if (!(err instanceof Error)) return String(err);
   const cause = err.cause === undefined ? '' : ` (caused by: ${describeError(err.cause)})`;
