--- a/test/kernel/channel.test.ts
+++ b/test/kernel/channel.test.ts
@@ -26,8 +26,8 @@
   assert.deepEqual(seen, [1, 2]);
 });
 
-// an operator sees a router that answers nothing and logs nothing: a background process threw,
-// and js-csp dropped the error.
+// Guards against a router that neither answers nor logs: a background process threw, and js-csp
+// discarded the error.
 test('an error in a process reaches the failure handler', async () => {
   const errors: unknown[] = [];
   await startProcess(
--- a/test/kernel/eventLog.test.ts
+++ b/test/kernel/eventLog.test.ts
@@ -8,7 +8,7 @@
 const fixture = fileURLToPath(new URL('fixtures/lastLine.ts', import.meta.url));
 const flags = ['--conditions=@flamingocourse/source', '--import=tsx'];
 
-// An engineer takes a process for killed that has stopped in order: its last line was lost with it.
+// Guards against a graceful stop that looks like a kill in the log because its last line was lost.
 test('the last line of a process that stops is written', async () => {
   const { stdout } = await run(process.execPath, [...flags, fixture]);
   assert.match(stdout, /"name":"gateway-stopped"/);
--- a/test/kernel/timeLimit.test.ts
+++ b/test/kernel/timeLimit.test.ts
@@ -9,21 +9,21 @@
 import { blockEventLoop } from '../platform/blockEventLoop.js';
 
 const LIMIT_MS = 100;
-const HELD_UP_MS = 250;
+const BLOCK_MS = 250;
 
-/** Starts a server that answers at once; then the process gets no further for longer than the limit. */
+/** Starts a server that answers immediately; it then blocks the event loop for longer than the limit. */
 async function serve(
   t: TestContext,
-  heldUpAt: 'connection' | 'answer',
+  blockedAt: 'connection' | 'answer',
 ): Promise<{ url: string; port: number }> {
   const server = createServer((req, res) => {
     req.resume();
     res.end('{}');
-    if (heldUpAt === 'answer') blockEventLoop(HELD_UP_MS);
+    if (blockedAt === 'answer') blockEventLoop(BLOCK_MS);
   });
-  if (heldUpAt === 'connection')
+  if (blockedAt === 'connection')
     server.on('connection', () => {
-      blockEventLoop(HELD_UP_MS);
+      blockEventLoop(BLOCK_MS);
     });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   t.after(() => {
@@ -34,8 +34,9 @@
   return { url: `http://127.0.0.1:${String(port)}`, port };
 }
 
-// An instance that is behind takes the store for lost, and servers for silent, whose answers it has not read yet.
-test('an exchange takes an answer that had arrived when its time was over', async (t) => {
+// Guards against an instance with a lagging event loop that considers the store or servers unreachable,
+// although their answers have arrived and are only not read yet.
+test('an exchange accepts an answer that arrived before its timeout', async (t) => {
   const { url } = await serve(t, 'answer');
   const answer = await exchange({
     method: 'GET',
@@ -47,10 +48,10 @@
   assert.equal(answer.isOk, true);
 });
 
-// The same for a backend server: a healthy one is avoided, and its request is sent to another as well.
-for (const heldUpAt of ['connection', 'answer'] as const) {
-  test(`an attempt takes the ${heldUpAt} that had arrived when its time was over`, async (t) => {
-    const { url } = await serve(t, heldUpAt);
+// The same for a backend server: otherwise a healthy one is avoided and its request is also sent to another.
+for (const blockedAt of ['connection', 'answer'] as const) {
+  test(`an attempt accepts the ${blockedAt} that arrived before its timeout`, async (t) => {
+    const { url } = await serve(t, blockedAt);
     const opened = await openAttempt({
       url,
       method: 'GET',
@@ -58,15 +59,15 @@
       headers: ['host', 'server.example'],
       body: Buffer.alloc(0),
       agent: new ServerAgent(),
-      connectMs: heldUpAt === 'connection' ? LIMIT_MS : 5_000,
-      headMs: heldUpAt === 'answer' ? LIMIT_MS : undefined,
+      connectMs: blockedAt === 'connection' ? LIMIT_MS : 5_000,
+      headMs: blockedAt === 'answer' ? LIMIT_MS : undefined,
       signal: new AbortController().signal,
     });
     assert.equal(opened.isOk, true);
   });
 }
 
-test('a time limit is over only once what had arrived by then was read', async (t) => {
+test('a time limit expires only after data that arrived in time was read', async (t) => {
   const { port } = await serve(t, 'answer');
   const limit = startTimeLimit(LIMIT_MS);
   const socket = connect(port, '127.0.0.1');
@@ -77,7 +78,7 @@
   socket.destroy();
 });
 
-test('a time limit is over for what has not arrived', async () => {
+test('a time limit expires if no data arrived', async () => {
   const limit = startTimeLimit(LIMIT_MS);
   const startedAt = performance.now();
   await new Promise((resolve) => {
--- a/test/mesh/configuration.test.ts
+++ b/test/mesh/configuration.test.ts
@@ -73,7 +73,7 @@
     .map(({ name }) => name)
     .join();
 
-/** Routers r1, r2... of one data centre, each with its own view of the platform. */
+/** Starts routers r1, r2... of one data centre, each with its own view of the platform. */
 async function startCentre(
   t: TestContext,
   platform: MemoryObjectStore,
@@ -93,14 +93,14 @@
   return { routers, stores };
 }
 
-/** Heartbeats of an idle machine in the three seconds within which a change has to be in force. */
+/** Heartbeats on an idle machine in the 3 s within which a change has to be in force. */
 const BEATS_IN_TIME = 3_000 / times.heartbeatMs;
-/** Only keeps a test that hangs from running for ever, in milliseconds. */
+/** Ends a test that hangs, in milliseconds. */
 const HANG_MS = 60_000;
 
 /**
- * Waits until a condition holds, within so many heartbeats of each router. A busy machine delays the
- * heartbeats with all else, so the verdict does not depend on its speed.
+ * Waits until a condition holds and checks that no router needed more than BEATS_IN_TIME heartbeats
+ * for it. A busy machine delays the heartbeats too, so the result does not depend on its speed.
  */
 async function untilInTime(
   what: string,
@@ -116,13 +116,13 @@
 const isRelay = (router: TestRouter): boolean =>
   router.fleet.localOwner('config-relay').incarnation === router.fleet.self.incarnation;
 
-/** Whether a router's watch is open, by its own log. */
+/** Whether a router's watch is open, according to its log. */
 const watches = (router: TestRouter): boolean =>
   router.log.events.findLast(({ event }) => event === 'configuration-relay')?.fields.relay === true;
 
 test('a change reaches all routers within 3 s, and one of them watches', async (t) => {
   const platform = new MemoryObjectStore();
-  // with nothing declared at all a router reads the platform again each second, by the clock.
+  // if nothing is declared, a router lists the platform again each second, independent of heartbeats.
   await declare(platform, 'first', 1);
   const { routers, stores } = await startCentre(t, platform, 4);
   await until('one watches', () => {
@@ -141,9 +141,9 @@
   assert.deepEqual(lists, [1, 1, 1, 1], 'each router lists once, at its start');
 });
 
-// an operator's change never comes into force in one data centre: the router that watched for it
-// crashed, and none of the others watched.
-test('a change reaches the others after the relay died', async (t) => {
+// Guards against a change that never takes effect in one data centre: the router that watched the
+// platform crashed, and no other router started to watch.
+test('a change reaches the other routers after the relay crashed', async (t) => {
   const platform = new MemoryObjectStore();
   const { routers } = await startCentre(t, platform, 3);
   await until('one relay', () => routers.filter(isRelay).length === 1);
@@ -154,8 +154,8 @@
   await untilInTime('in force', others, () => others.every((r) => tokensOf(r, 'club') === 7));
 });
 
-// a club is served by its old settings again: a router restarted, the platform gave it a stale list,
-// and it told its peers. What peers know is newer and must win, in both directions.
+// Guards against old settings that return: a router restarts, the platform gives it a stale list, and it
+// passes this list on to its peers. The newer state of the peers must win in both directions.
 test('a stale list after a restart reverts nothing', async (t) => {
   const platform = new MemoryObjectStore();
   await declare(platform, 'club', 1);
@@ -174,16 +174,18 @@
     store: stale,
     seeds,
   });
-  assert.equal(tokensOf(restarted, 'club'), 2, 'newest at the end of its start');
+  assert.equal(tokensOf(restarted, 'club'), 2, 'the newest is in force when its start ends');
   assert.equal(names(restarted), 'club');
   await declare(platform, 'club', 3);
-  await until('all go on', () => [...routers, restarted].every((r) => tokensOf(r, 'club') === 3));
+  await until('all routers have the change', () =>
+    [...routers, restarted].every((r) => tokensOf(r, 'club') === 3),
+  );
   assert.ok([...routers, restarted].every((r) => names(r) === 'club'));
 });
 
-// callers are served by settings that were taken back: a router restarted beside load, its peer did
-// not answer the first question in time, and the start ended with the stale list in force.
-test('a start goes on asking peers that know more, until one answers', async (t) => {
+// Guards against settings that were already replaced: a router restarted under load, a peer did not
+// answer its first pull in time, and the start ended with the stale list in force.
+test('a start retries the pull from peers with newer configuration until one answers', async (t) => {
   const platform = new MemoryObjectStore();
   await declare(platform, 'club', 1);
   const stale = new MemoryObjectStore();
@@ -204,7 +206,7 @@
   assert.equal(tokensOf(restarted, 'club'), 2);
 });
 
-test('a router that starts while the platform is out gets the newest from peers', async (t) => {
+test('a router that starts during a platform outage gets the newest configuration from peers', async (t) => {
   const platform = new MemoryObjectStore();
   await declare(platform, 'club', 4);
   const { routers } = await startCentre(t, platform, 2);
@@ -216,7 +218,7 @@
   assert.equal(tokensOf(late, 'club'), 4);
 });
 
-test('an unreadable object leaves its last good version and all others in force', async (t) => {
+test('an invalid object leaves its last valid version and all other objects in force', async (t) => {
   const platform = new MemoryObjectStore();
   await declare(platform, 'club', 4);
   const { routers } = await startCentre(t, platform, 1);
@@ -230,8 +232,9 @@
   assert.ok(router.log.events.some(({ event }) => event === 'declaration-unreadable'));
 });
 
-// A router that started after an operator's mistake serves a class never again, though its peers know the last good version.
-test('a router that starts after a mistake gets the last good version from a peer', async (t) => {
+// Guards against a router that starts after an operator's mistake and never serves a work class,
+// although its peers know the last valid version.
+test('a router that starts after a mistake gets the last valid version from a peer', async (t) => {
   const platform = new MemoryObjectStore();
   const write = async (declaration: Declaration): Promise<void> => {
     const name = `${declaration.kind}.${declaration.name}`;
@@ -257,8 +260,8 @@
   const options = { instance: 'r3', dataCentre: 'dc-a', centre: 1, store: platform.view(), seeds };
   for (const { link } of routers) link.setCut('reset');
   const late = await startRouter(t, options);
-  assert.equal(late.configuration.workClass('drafts'), undefined, 'nobody to ask yet');
-  assert.equal(late.configuration.service('llm')?.name, 'llm', 'all else is in force');
+  assert.equal(late.configuration.workClass('drafts'), undefined, 'no peer is reachable yet');
+  assert.equal(late.configuration.service('llm')?.name, 'llm', 'all other objects are in force');
   for (const { link } of routers) link.setCut('none');
   const all = [...routers, late];
   await until('in force', () =>
@@ -292,14 +295,14 @@
   floor: number;
 }[] = [
   {
-    name: 'a late change does not replace a newer one or bring a deleted object back',
+    name: 'a late change neither replaces a newer one nor restores a deleted object',
     updates: [delta(5, at('a', 5)), delta(6, at('b', 6, false)), delta(4, at('a', 4), at('b', 3))],
     exist: ['a@5'],
     asOf: 6,
     floor: 0,
   },
   {
-    name: 'a complete update deletes what it lacks',
+    name: 'a complete update deletes objects that it does not contain',
     updates: [complete(5, at('a', 1), at('b', 2)), complete(9, at('a', 1))],
     exist: ['a@1'],
     asOf: 9,
@@ -328,19 +331,23 @@
   });
 }
 
-// a deleted account keeps working at one router: it was deleted while that router could not be
-// reached, and the peer that it asked later had itself only listed after the deletion.
-test('a peer that never saw a deletion tells it by a complete update', () => {
-  const behind = mergeUpdate(createConfigStore(), complete(5, at('a', 1), at('b', 2)));
+// Guards against a deleted account that keeps working at one router: the router was unreachable during
+// the deletion, and the peer that it pulls from listed the platform only after the deletion.
+test('a peer that never saw a deletion passes it on in a complete update', () => {
+  const outdated = mergeUpdate(createConfigStore(), complete(5, at('a', 1), at('b', 2)));
   const fresh = mergeUpdate(createConfigStore(), complete(9, at('a', 1)));
-  const update = updateSince(fresh, behind.asOf);
+  const update = updateSince(fresh, outdated.asOf);
   assert.equal(update.complete, true);
-  assert.deepEqual(existing(mergeUpdate(behind, update)), ['a@1']);
+  assert.deepEqual(existing(mergeUpdate(outdated, update)), ['a@1']);
   const upToDate = updateSince(mergeUpdate(fresh, delta(10, at('c', 10))), 9);
-  assert.deepEqual(upToDate, delta(10, at('c', 10)), 'who follows closely gets the change alone');
+  assert.deepEqual(
+    upToDate,
+    delta(10, at('c', 10)),
+    'a router that is up to date gets only the change',
+  );
 });
 
-test('deletions are remembered up to a bound, and then told by complete updates', () => {
+test('a limited number of deletions is stored; older ones are sent as complete updates', () => {
   const deletions = Array.from({ length: 1_200 }, (_, i) => at(`n${String(i)}`, i + 1, false));
   const store = mergeUpdate(createConfigStore(), delta(1_200, ...deletions));
   assert.equal(store.objects.size, 1_000);
--- a/test/mesh/fixtures.ts
+++ b/test/mesh/fixtures.ts
@@ -1,4 +1,4 @@
-/** Routers of a small fleet in this process: mesh, fleet and configuration, without the request path. */
+/** Fixtures: routers of a small fleet in this process, with mesh, fleet and configuration services only. */
 
 import type { TestContext } from 'node:test';
 import type { Declaration, MemberInfo } from '@flamingocourse/core';
@@ -23,14 +23,14 @@
 export interface TestRouter {
   fleet: FleetService;
   configuration: ConfigurationService;
-  /** Relay in front of its mesh listener. */
+  /** Proxy in front of its mesh listener, for cuts and delays. */
   link: Link;
   /** Loopback address of its data centre. */
   host: string;
   log: MemoryEventLog;
-  /** Ends it the planned way. */
+  /** Stops it gracefully. */
   stop(): Promise<void>;
-  /** Ends it without a word, as a crash would. */
+  /** Stops it without notifying its peers, as in a crash. */
   kill(): Promise<void>;
 }
 
@@ -41,11 +41,11 @@
   centre: number;
   store: ObjectStore;
   seeds?: string[];
-  /** Pulls of the configuration that get no answer at first. */
+  /** Number of initial pulls of the configuration that get no answer. */
   failingPulls?: number;
 }
 
-/** A client whose first pulls of the configuration get no answer in time. */
+/** A client whose first pulls of the configuration fail without an answer. */
 class LossyMeshClient extends MeshClient {
   #failing: number;
 
@@ -63,7 +63,7 @@
   };
 }
 
-/** Starts a router that ends with the test. */
+/** Starts a router; it is stopped when the test ends. */
 export async function startRouter(t: TestContext, options: TestRouterOptions): Promise<TestRouter> {
   const host = `127.0.${String(options.centre)}.1`;
   const server = new MeshServer({ host, port: 0 });
@@ -96,7 +96,7 @@
   return { fleet, configuration, link, host, log, stop, kill };
 }
 
-/** Cuts or heals the mesh between two groups of routers, both ways. */
+/** Partitions or heals the mesh between two groups of routers, in both directions. */
 export function setPartition(a: TestRouter[], b: TestRouter[], mode: 'silent' | 'none'): void {
   for (const from of a) {
     for (const to of b) {
@@ -106,7 +106,7 @@
   }
 }
 
-/** Waits until a condition holds; fails loudly after a bounded time. */
+/** Waits until a condition holds; throws after a timeout. */
 export async function until(what: string, holds: () => boolean, withinMs = 5_000): Promise<void> {
   const end = Date.now() + withinMs;
   while (!holds()) {
@@ -115,7 +115,7 @@
   }
 }
 
-/** A member for tests of the decisions alone. */
+/** Creates a member for unit tests without a router. */
 export function createMember(instance: string, change: Partial<MemberInfo> = {}): MemberInfo {
   return {
     incarnation: `dc-a/${instance}/1`,
@@ -140,7 +140,7 @@
     instance,
     dataCentre,
     entry: { publicUrl: `http://127.0.0.1/${instance}` },
-    // the port is not used: the listener was made with its own.
+    // the port is not used: the listener was created with port 0.
     mesh: { ...times, host: '127.0.0.1', port: 1, publicUrl, seeds },
   } as unknown as RouterSettings;
   return { settings, clock: new SystemClock(), log, metrics: new NoMetrics() };
--- a/test/mesh/fleet.test.ts
+++ b/test/mesh/fleet.test.ts
@@ -8,7 +8,7 @@
 import { MembershipTable, routerInstanceList } from '../../packages/router/src/node/fleet/index.js';
 import { createMember, setPartition, startRouter, times, until } from './fixtures.js';
 
-/** Two routers in each of two data centres; all but the first know only the first. */
+/** Starts two routers in each of two data centres; the first is the seed of the others. */
 async function startFleet(t: TestContext): Promise<TestRouter[]> {
   const store = new MemoryObjectStore();
   const first = { instance: 'r1', dataCentre: 'dc-a', centre: 1, store };
@@ -22,7 +22,9 @@
     const dataCentre = centre === 1 ? 'dc-a' : 'dc-b';
     routers.push(await startRouter(t, { instance, dataCentre, centre, store, seeds }));
   }
-  await until('all know all', () => routers.every((r) => countHealth(r, 'alive') === 3));
+  await until('each router knows all others', () =>
+    routers.every((r) => countHealth(r, 'alive') === 3),
+  );
   return routers;
 }
 
@@ -49,13 +51,13 @@
   const service = routerInstanceList;
   store.setInstances([{ service, id: 'r1', dataCentre: 'dc-a', url: r1.link.url, state: 'live' }]);
   const r2 = await startRouter(t, { ...options, instance: 'r2' });
-  assert.equal(countHealth(r2, 'alive'), 1, 'known at the end of its start');
+  assert.equal(countHealth(r2, 'alive'), 1, 'known when its start ends');
   await until('known to the other too', () => countHealth(r1, 'alive') === 1);
 });
 
-// duty pilots wait for a dead router's entries to be settled: the router crashed, and nobody noticed.
-// Peers must take it as suspect, then gone, tell their services, and take over what it owned.
-test('a death is noticed, reported and taken over', async (t) => {
+// Guards against entries of a crashed router that stay unsettled because no peer detects the crash.
+// Peers must mark it as suspect, then gone, notify their services, and take over what it owned.
+test('a crash is detected and reported, and peers take over', async (t) => {
   const [r1, r2, r3] = await startFleet(t);
   assert.ok(r1 && r2 && r3);
   const seen: PeerHealth[] = [];
@@ -64,16 +66,16 @@
     if (info.incarnation === incarnation) seen.push(health);
   });
   await r2.kill();
-  await until('gone at all', () =>
+  await until('gone at all peers', () =>
     [r1, r3].every((r) => r.fleet.find(incarnation)?.health === 'gone'),
   );
   await until('reported', () => seen.join() === 'suspect,gone');
   for (const key of ['a', 'b', 'c', 'd']) assert.equal(r1.fleet.localOwner(key), r1.fleet.self);
 });
 
-// a stopped router keeps its duties until its silence is noticed, and its data centre stalls. Its
-// last heartbeat must hand them over at once.
-test('a planned stop moves duties before the silence is noticed', async (t) => {
+// Guards against a data centre that stalls because a stopped router keeps its duties until its failure
+// is detected. Its last heartbeat must hand them over immediately.
+test('a graceful stop hands duties over before the failure is detected', async (t) => {
   const [r1, r2] = await startFleet(t);
   assert.ok(r1 && r2);
   await r2.stop();
@@ -81,9 +83,9 @@
   for (const key of ['a', 'b', 'c', 'd']) assert.equal(r1.fleet.localOwner(key), r1.fleet.self);
 });
 
-// after a restart peers go on calling the dead life of a router: a delayed heartbeat of it arrived
-// after it had died and revived it.
-test('a restart is a new life, and a stale beat does not revive the old one', async (t) => {
+// Guards against peers that call an old incarnation after a restart: a delayed heartbeat of the old
+// incarnation arrived after its end and marked it as alive again.
+test('a restart is a new incarnation, and a stale beat does not revive the old one', async (t) => {
   const [r1, r2] = await startFleet(t);
   assert.ok(r1 && r2);
   const old = r1.fleet.find(r2.fleet.self.incarnation)?.info;
@@ -96,7 +98,7 @@
     store: new MemoryObjectStore(),
     seeds: [r1.link.url],
   });
-  await until('old life is gone', () => r1.fleet.find(old.incarnation)?.health === 'gone');
+  await until('old incarnation is gone', () => r1.fleet.find(old.incarnation)?.health === 'gone');
   const late = new MeshClient();
   t.after(() => {
     late.close();
@@ -113,19 +115,19 @@
   assert.ok(r1 && r2 && r3 && r4);
   setPartition([r1, r2], [r3, r4], 'silent');
   await until('separated', () => [r1, r2, r3, r4].every((r) => countHealth(r, 'gone') === 2));
-  assert.equal(r1.fleet.localPeers().length, 1, 'the own data centre stays together');
+  assert.equal(r1.fleet.localPeers().length, 1, 'routers of one data centre still see each other');
   assert.equal(r3.fleet.localPeers().length, 1);
   setPartition([r1, r2], [r3, r4], 'none');
   await until('together', () => [r1, r2, r3, r4].every((r) => countHealth(r, 'alive') === 3));
 });
 
-test('calls meant for an earlier life of the same process still reach it', async (t) => {
+test('calls meant for an earlier incarnation of the same process still reach it', async (t) => {
   const [r1, r2] = await startFleet(t);
   assert.ok(r1 && r2);
   const before = r1.fleet.self;
   const after = r1.fleet.renewIncarnation();
   assert.notEqual(after, before.incarnation);
-  await until('the new life is known', () => r2.fleet.find(after)?.health === 'alive');
+  await until('the new incarnation is known', () => r2.fleet.find(after)?.health === 'alive');
   const client = new MeshClient();
   t.after(() => {
     client.close();
@@ -134,9 +136,9 @@
   assert.ok(pull.isOk);
 });
 
-// an operator sees a router seal all its peers after the machine was suspended: it woke, had heard
-// nobody for minutes, and took everyone as gone before the first heartbeat came in.
-test('a router that wakes from a pause does not take its peers as gone', () => {
+// Guards against a router that seals all its peers after its machine was suspended: on resume, it had
+// received nothing for minutes and considered all peers gone before the first heartbeat arrived.
+test('a router that resumes after a pause does not consider its peers gone', () => {
   const table = new MembershipTable(createMember('r1'), times, []);
   const message = { info: createMember('r2'), digest: [], members: [] };
   table.tick(1_000);
@@ -146,13 +148,17 @@
   table.tick(wake);
   assert.equal(table.peers(wake)[0]?.health, 'alive', 'after it');
   for (let now = wake; now <= wake + times.goneMs; now += times.heartbeatMs) table.tick(now);
-  assert.equal(table.peers(wake + times.goneMs)[0]?.health, 'gone', 'silence counts from then on');
+  assert.equal(
+    table.peers(wake + times.goneMs)[0]?.health,
+    'gone',
+    'the timeout counts from the resume',
+  );
 });
 
 const packed = [
   { name: 'nothing but itself', message: { info: createMember('r1'), digest: [], members: [] } },
   {
-    name: 'others, and names that the incarnation does not spell',
+    name: 'others, and names that are not part of the incarnation',
     message: {
       info: createMember('r1', { state: 'leaving', beat: 9, revision: 7 }),
       digest: [{ incarnation: 'dc-a/r2/1', beat: 3, ageMs: 40 }],
@@ -161,7 +167,7 @@
   },
 ];
 for (const { name, message } of packed) {
-  test(`a heartbeat is unpacked as it was packed: ${name}`, () => {
+  test(`unpacking returns the packed heartbeat: ${name}`, () => {
     const sent: unknown = JSON.parse(JSON.stringify(packHeartbeat(message)));
     assert.deepEqual(unpackHeartbeat(sent as ReturnType<typeof packHeartbeat>), message);
   });
--- a/test/mesh/mesh.test.ts
+++ b/test/mesh/mesh.test.ts
@@ -105,7 +105,7 @@
       server.handle('recall', () => new Promise(() => undefined));
     },
   },
-  { name: 'a procedure that nobody serves yet', code: 'refused' },
+  { name: 'a procedure without a handler', code: 'refused' },
   { name: 'an input out of bounds', code: 'invalid', prepare: serveRecall, amount: -1 },
   {
     name: 'a body over the limit',
@@ -142,9 +142,10 @@
   });
 }
 
-// A dead holder is sealed without its bill: a new process at its witness's address answers in the witness's place.
+// Guards against a crashed holder that is sealed without its bill: a new process at the address of its
+// witness answers instead of the witness.
 for (const incarnation of ['dc-a/ruter-1é/ffffffffffff', undefined]) {
-  test(`a call meant for ${incarnation ?? 'nobody in particular'} is refused`, async (t) => {
+  test(`a call meant for ${incarnation ?? 'no stated incarnation'} is refused`, async (t) => {
     const { server, target } = await startServer(t);
     server.handle('fenceHolder', () => Result.ok({ lines: [] }));
     const other = { meshUrl: target.meshUrl, ...(incarnation ? { incarnation } : {}) };
@@ -154,7 +155,7 @@
   });
 }
 
-test('a secret shared by both is accepted', async (t) => {
+test('a matching secret is accepted', async (t) => {
   const { server, target } = await startServer(t, { secret: 's' });
   serveRecall(server);
   const result = await createClient(t, { secret: 's' }).call(target, 'recall', {
@@ -171,7 +172,7 @@
 ] as const;
 
 for (const { cut, code } of cuts) {
-  test(`a ${cut} cut between data centres gives ${code} and heals`, async (t) => {
+  test(`a ${cut} cut between data centres gives ${code} until it is healed`, async (t) => {
     const { server, target } = await startServer(t);
     serveRecall(server);
     const { hostname: host, port } = new URL(target.meshUrl);
--- a/test/store/circuit.test.ts
+++ b/test/store/circuit.test.ts
@@ -9,7 +9,7 @@
 
 const cases: { name: string; steps: [now: number, ...Step][]; phase: CircuitState['phase'] }[] = [
   {
-    name: 'single failures between answers keep it closed',
+    name: 'an answer resets the failures, so that single ones do not open it',
     steps: [
       [0, 'failed'],
       [0, 'answered'],
@@ -19,7 +19,7 @@
     phase: 'closed',
   },
   {
-    name: 'it opens at the limit, and late failures do not lengthen the pause',
+    name: 'it opens at the limit, and failures while open do not extend the pause',
     steps: [
       [0, 'failed'],
       [0, 'failed'],
--- a/test/store/fixtures.ts
+++ b/test/store/fixtures.ts
@@ -1,4 +1,4 @@
-/** Shared by the platform tests: a running stand-in, its clients and small helpers. */
+/** Fixtures of the store tests: a stand-in of the platform, its clients and helpers. */
 
 import type { TestContext } from 'node:test';
 import type { Collection, HttpObjectStoreOptions } from '@flamingocourse/store';
@@ -20,7 +20,7 @@
   schema: z.object({ text: z.string() }),
 };
 
-/** Starts a stand-in that ends with the test. */
+/** Starts a stand-in of the platform; it is closed when the test ends. */
 export async function startStandIn(
   t: TestContext,
   options: Partial<PlatformStandInOptions> = {},
@@ -33,7 +33,7 @@
   return standIn;
 }
 
-/** Connects a client that ends with the test. */
+/** Creates a client; it is closed when the test ends. */
 export function connect(
   t: TestContext,
   url: string | undefined,
@@ -46,7 +46,7 @@
   return store;
 }
 
-/** Waits until a condition holds; fails loudly after a bounded time. */
+/** Waits until a condition holds; throws after a timeout. */
 export async function until(what: string, holds: () => boolean, withinMs = 5_000): Promise<void> {
   const end = Date.now() + withinMs;
   while (!holds()) {
@@ -55,7 +55,7 @@
   }
 }
 
-/** For `unwrapOrElse`: a result that should be fine is not. */
+/** For `unwrapOrElse`: fails the test if a result is an error. */
 export function failTest(err: unknown): never {
   throw new Error('unexpected failure', { cause: err });
 }
--- a/test/store/httpObjectStore.test.ts
+++ b/test/store/httpObjectStore.test.ts
@@ -70,7 +70,8 @@
   assert.equal((await b.list(notes)).unwrapOrElse(failTest).items.length, 0);
 });
 
-// A top-up is done twice: the write took effect, its reply was lost, and the client said that it had failed.
+// Guards against a top-up that is done twice: a write takes effect, its reply is lost, and the client
+// reports it as failed without effect, so that it is retried.
 const lostWrites: { name: string; run: Run; seen: string | undefined }[] = [
   { name: 'create', run: (s) => s.create(notes, 'new', { text: 'kept' }), seen: 'kept' },
   { name: 'update', run: (s, v) => s.update(notes, 'n', v, { text: 'kept' }), seen: 'kept' },
@@ -92,9 +93,9 @@
   });
 }
 
-// while the platform is silent every request waits for the whole timeout and callers see slow
-// refusals. After a few failures the circuit must refuse at once, and close soon after the outage.
-test('an outage costs later callers nothing and ends by itself', async (t) => {
+// Guards against slow refusals during an outage, when each request waits for the whole timeout. After a
+// few failures the circuit must refuse calls immediately, and it must close soon after the outage.
+test('during an outage the circuit refuses calls immediately, and closes after it', async (t) => {
   const platform = await startStandIn(t);
   const store = connect(t, platform.urls['dc-a'], { timeoutMs: 60 });
   const other = connect(t, platform.urls['dc-b']);
@@ -107,14 +108,17 @@
   assert.ok(refused.isErr && refused.error.effect === 'none', 'not sent, so without effect');
   assert.equal(store.counters.get.sent, sent);
   assert.equal(store.reachable, false);
-  assert.ok((await other.create(notes, 'n', { text: 'b' })).isOk, 'the other data centre goes on');
+  assert.ok(
+    (await other.create(notes, 'n', { text: 'b' })).isOk,
+    'the other data centre is not affected',
+  );
   platform.setFaults('dc-a', { outage: 'none' });
   let read = false;
   while (!read) read = (await store.get(notes, 'n')).isOk;
   assert.equal(store.reachable, true);
 });
 
-test('calls over the rate are throttled with a time to come back', async (t) => {
+test('calls over the rate limit are throttled with a retry delay', async (t) => {
   const platform = await startStandIn(t, { writesPerSecond: 2 });
   const store = connect(t, platform.urls['dc-a']);
   const results = [];
@@ -123,7 +127,7 @@
   assert.ok(last?.isErr);
   assert.equal(last.error.code, 'throttled');
   assert.equal(last.error.retryAfterMs, 1_000);
-  assert.equal(store.reachable, true, 'a platform that throttles is there');
+  assert.equal(store.reachable, true, 'a platform that throttles is reachable');
 });
 
 test('an aborted call ends at once', async (t) => {
@@ -134,7 +138,7 @@
   assert.ok(result.isErr && result.error.code === 'unreachable');
 });
 
-test('the instance list lags and survives a malformed entry', async (t) => {
+test('the instance list is updated with a delay, and a malformed entry is skipped', async (t) => {
   const platform = await startStandIn(t, { instanceLagMs: 80 });
   const store = connect(t, platform.urls['dc-b']);
   const record = {
@@ -159,7 +163,7 @@
   return fetch(`${platform.operatorsUrl}/control/${path}`, init);
 }
 
-test('fault switches and state are reached over HTTP', async (t) => {
+test('faults can be set and the state can be read over HTTP', async (t) => {
   const platform = await startStandIn(t);
   const store = connect(t, platform.urls['dc-a']);
   assert.equal((await control(platform, 'faults', { outage: 'refuse' })).status, 200);
@@ -171,5 +175,9 @@
   >;
   assert.equal(state.entrances['dc-a']?.faults.outage, 'refuse');
   assert.equal(state.entrances['dc-a'].counters.get, 1);
-  assert.equal(state.entrances.operators?.faults.outage, 'none', 'operators are not cut off');
+  assert.equal(
+    state.entrances.operators?.faults.outage,
+    'none',
+    'the entrance for operators is not affected',
+  );
 });
--- a/test/store/link.test.ts
+++ b/test/store/link.test.ts
@@ -16,7 +16,7 @@
 }
 
 for (const cut of ['silent', 'reset'] as const) {
-  test(`a ${cut} cut stops calls, also on kept connections, and heals`, async (t) => {
+  test(`a ${cut} cut stops calls, also on existing connections, until it is healed`, async (t) => {
     const platform = await startStandIn(t);
     const link = await linkTo(t, platform.urls['dc-a']);
     const options = { timeoutMs: 1_000, circuit: { failureLimit: 99, pauseMs: 1, maxPauseMs: 1 } };
@@ -26,7 +26,11 @@
     const cutOff = await store.get(notes, 'n');
     assert.ok(cutOff.isErr);
     const reason = cutOff.error.message.includes('timeout') ? 'timeout' : 'broken';
-    assert.equal(reason, cut === 'silent' ? 'timeout' : 'broken', 'only silence costs the timeout');
+    assert.equal(
+      reason,
+      cut === 'silent' ? 'timeout' : 'broken',
+      'only a silent cut waits for the timeout',
+    );
     link.setCut('none');
     assert.ok((await store.get(notes, 'n')).isOk);
   });
@@ -46,13 +50,13 @@
   assert.equal((await store.get(notes, 'n')).unwrapOrElse(failTest).value.text, text);
 });
 
-// a process never ends and keeps a core busy: a connection was reset while its own end was on its way,
-// which the runtime refuses, and then it waits for that connection for good.
+// Guards against a process that never exits and keeps a core busy: a connection was reset while its own
+// end was still being sent. The runtime refuses this, and the process then waits forever for it.
 describe('a connection that is broken closes without an error', () => {
   const cases = [
     { name: 'while it is open', before: () => undefined },
-    { name: 'while its end is on its way', before: (socket: Socket) => socket.end() },
-    { name: 'while it is closing already', before: (socket: Socket) => socket.destroy() },
+    { name: 'while its end is being sent', before: (socket: Socket) => socket.end() },
+    { name: 'while it is already closing', before: (socket: Socket) => socket.destroy() },
   ];
   for (const { name, before } of cases) {
     test(name, async (t) => {
--- a/test/store/recoveryProbe.test.ts
+++ b/test/store/recoveryProbe.test.ts
@@ -5,7 +5,7 @@
 import { RecoveryProbe } from '../../packages/store/src/node/recoveryProbe.js';
 import { connect, notes, startStandIn, until } from './fixtures.js';
 
-describe('a probe for the return of the store', () => {
+describe('a probe for the recovery of the store', () => {
   const start = (): { probe: RecoveryProbe; sent: () => number } => {
     let sent = 0;
     const send = (): void => {
@@ -14,7 +14,7 @@
     return { probe: new RecoveryProbe({ send, random: () => 0.5 }), sent: () => sent };
   };
 
-  test('is sent at once and each quarter of a second until the store answers', (t) => {
+  test('is sent immediately and then every quarter of a second until the store answers', (t) => {
     t.mock.timers.enable({ apis: ['setTimeout'] });
     const { probe, sent } = start();
     probe.recordFailure();
@@ -28,24 +28,25 @@
   });
 
   const absences = [
-    { name: 'nothing failed', failed: false, afterMs: 0, wasAway: false },
-    { name: 'the first probe is answered', failed: true, afterMs: 249, wasAway: false },
-    { name: 'the first is not answered', failed: true, afterMs: 250, wasAway: true },
+    { name: 'nothing failed', failed: false, afterMs: 0, wasUnreachable: false },
+    { name: 'the first probe is answered', failed: true, afterMs: 249, wasUnreachable: false },
+    { name: 'the first is not answered', failed: true, afterMs: 250, wasUnreachable: true },
   ];
-  for (const { name, failed, afterMs, wasAway } of absences) {
-    test(`tells ${wasAway ? 'an outage' : 'no outage'} when ${name}`, (t) => {
+  for (const { name, failed, afterMs, wasUnreachable } of absences) {
+    test(`reports ${wasUnreachable ? 'an outage' : 'no outage'} when ${name}`, (t) => {
       t.mock.timers.enable({ apis: ['setTimeout'] });
       const { probe } = start();
       if (failed) probe.recordFailure();
       t.mock.timers.tick(afterMs);
-      assert.equal(probe.recordAnswer(), wasAway);
+      assert.equal(probe.recordAnswer(), wasUnreachable);
       assert.equal(probe.recordAnswer(), false);
     });
   }
 });
 
-// A new key or a server's leaving stays unknown for seconds after the store is back, as one watch of the client backs off still.
-describe('the return of the store', () => {
+// Guards against a new key or the removal of a server that stays unknown for seconds after the store has
+// recovered, because a watch of the client is still in its back-off.
+describe('the recovery of the store', () => {
   for (const outage of ['refuse', 'silent'] as const) {
     test(`wakes a watch that backs off (${outage})`, async (t) => {
       const platform = await startStandIn(t, { bookmarkMs: 10 });
@@ -63,22 +64,22 @@
       });
       await until('listed', () => heard > 0);
       platform.setFaults('dc-a', { outage });
-      // five failures in a row are a back-off of 1.5 s, counted from the last of them.
-      await until('it has failed often', () => breaks.length >= 5, 20_000);
+      // after five consecutive failures the back-off is 1.5 s, counted from the last failure.
+      await until('it has failed five times', () => breaks.length >= 5, 20_000);
       platform.setFaults('dc-a', { outage: 'none' });
       assert.ok(store.counters.get.sent > 0, 'probes were sent');
       const before = heard;
       await until('another user is answered', () => store.reachable);
-      // a watch that is open is heard within ten milliseconds; these calls take some hundred, which is far
-      // less than what is left of the back-off.
+      // an open watch gets a bookmark within ten milliseconds; these calls take some hundred, which is
+      // much less than the remaining back-off.
       for (let n = 0; n < 200 && heard === before; n += 1) await store.get(notes, 'none');
-      assert.ok(heard > before, 'the watch was back meanwhile');
+      assert.ok(heard > before, 'the watch was answered in the meantime');
     });
   }
 });
 
-/** Each waiting call is answered with something that can't be read. */
-class UselessDialect extends ObjectApiDialect {
+/** Every watch call ends with an answer that cannot be read. */
+class UnusableAnswerDialect extends ObjectApiDialect {
   follows = 0;
 
   override follow(): Promise<WatchEnd> {
@@ -87,15 +88,15 @@
   }
 }
 
-// the store is flooded with calls: an answer that can't be read counts as a loss, the probe for the store's
-// return is answered at once, and the watch was woken to ask for the same again.
-test('a watch whose answers are useless backs off although the store is there', async (t) => {
+// Guards against flooding the store with calls: an unreadable answer counts as a failure, the probe is
+// answered immediately, and that wakes the watch, which sends the same call again.
+test('a watch whose answers are unusable backs off although the store is reachable', async (t) => {
   const platform = await startStandIn(t);
-  const dialect = new UselessDialect();
+  const dialect = new UnusableAnswerDialect();
   const store = connect(t, platform.urls['dc-a'], { dialect, random: () => 1 });
   store.watch(notes, { from: '1', onEvent: () => undefined });
   await until('probed', () => store.counters.get.sent >= 3);
-  // three pauses of 100, 200 and 400 ms; a probe for each call, none without a pause.
+  // three pauses of 100, 200 and 400 ms; one probe for each call, no call without a pause.
   assert.ok(dialect.follows <= store.counters.get.sent + 1);
   const before = dialect.follows;
   for (let n = 0; n < 50; n += 1) await store.get(notes, 'none');
--- a/test/store/watch.test.ts
+++ b/test/store/watch.test.ts
@@ -6,7 +6,7 @@
 import { latestChanges } from '../../packages/store/src/runtime/latestChanges.js';
 import { connect, failTest, notes, startStandIn, until } from './fixtures.js';
 
-/** The collection as a watcher knows it after the events so far. */
+/** Contents of the collection according to the events so far. */
 function replay(events: WatchEvent<Note>[]): Record<string, string> {
   const known = new Map<string, string>();
   for (const event of events) {
@@ -40,7 +40,7 @@
   );
 });
 
-/** Tells a change at once, and then nothing. */
+/** Delivers one change immediately; later calls stay open without data. */
 class OneChangeDialect extends ObjectApiDialect {
   readonly idleMs: number[] = [];
 
@@ -52,9 +52,9 @@
   }
 }
 
-// a server that leaves on a calm day is taken for one whose entry lapsed in an outage: a pause for changes
-// to gather and a whole wait after it came within 50 ms of the silence that means an outage.
-test('the pause for changes to gather is part of the time for which a watch may be silent', async (t) => {
+// Guards against taking the removal of a server for the expiry of its entry in an outage: the batch
+// pause plus the full idle time came within 50 ms of the silence that counts as an outage.
+test('the idle time of a watch includes the pause in which changes are batched', async (t) => {
   const dialect = new OneChangeDialect();
   const store = connect(t, 'http://127.0.0.1:1', { dialect });
   const options = { from: '1', idleMs: 2_400, gatherMs: 20, onEvent: () => undefined };
@@ -64,13 +64,13 @@
   assert.deepEqual(dialect.idleMs, [2_400, 2_380]);
 });
 
-/** Tells five versions of one object in one answer, and then nothing. */
+/** Delivers five versions of one object in one answer; later calls stay open without data. */
 class VersionStormDialect extends ObjectApiDialect {
-  #isTold = false;
+  #isDelivered = false;
 
   override follow(call: WatchCall): Promise<WatchEnd> {
-    if (this.#isTold) return new Promise(() => undefined);
-    this.#isTold = true;
+    if (this.#isDelivered) return new Promise(() => undefined);
+    this.#isDelivered = true;
     const versions = [2, 3, 4, 5, 6].map(String);
     const objects = versions.map((version) => ({ name: 'a', version, value: { text: version } }));
     call.onChanges(
@@ -81,12 +81,13 @@
   }
 }
 
-// requests wait while an instance with a tenth of a core takes in versions that others have replaced.
-test('of several versions of an object in one answer only the last is taken in', async (t) => {
+// Guards against delayed requests on an instance with a tenth of a core: it validated versions that
+// were already superseded.
+test('of several versions of an object in one answer only the last is delivered', async (t) => {
   const store = connect(t, 'http://127.0.0.1:1', { dialect: new VersionStormDialect() });
   const events: WatchEvent<Note>[] = [];
   store.watch(notes, { from: '1', onEvent: (event) => events.push(event) });
-  await until('told', () => knows(events, { a: '6' }));
+  await until('delivered', () => knows(events, { a: '6' }));
   assert.equal(events.length, 1);
 });
 
@@ -109,17 +110,17 @@
   }
 });
 
-// a caller is told that the configuration may be outdated although the store is well: nothing changes for
-// a while, and the lines by which the store says so are not understood.
-test('a calm watch is heard by its bookmarks', async (t) => {
+// Guards against answers that call the configuration possibly outdated although the store works:
+// nothing changes for a while, and the bookmarks do not count as a confirmation.
+test('bookmarks confirm a watch without changes', async (t) => {
   const platform = await startStandIn(t, { bookmarkMs: 20 });
   const store = connect(t, platform.urls['dc-a']);
-  let heard = 0;
-  store.watch(notes, { onEvent: () => undefined, onHeard: () => (heard += 1) });
-  await until('heard again and again', () => heard >= 4);
+  let confirmations = 0;
+  store.watch(notes, { onEvent: () => undefined, onHeard: () => (confirmations += 1) });
+  await until('confirmed several times', () => confirmations >= 4);
 });
 
-// A change that was made while a watch was down never comes into force.
+// Guards against changes that never take effect because they were made while a watch was interrupted.
 const breaks: readonly {
   name: string;
   faults: { outage: 'refuse' | 'silent' };
@@ -138,7 +139,12 @@
     idleMs: 150,
     watchIdleMs: 60_000,
   },
-  { name: 'a forgotten version (410)', faults: { outage: 'refuse' }, changes: 30, lists: 2 },
+  {
+    name: 'a version that is no longer in the history (410)',
+    faults: { outage: 'refuse' },
+    changes: 30,
+    lists: 2,
+  },
 ];
 
 for (const { name, faults, changes, lists, idleMs, watchIdleMs = 150 } of breaks) {
@@ -161,9 +167,9 @@
   });
 }
 
-// an operator's change is accepted and comes into force nowhere: the platform keeps every watch open
-// and says nothing on it, also on one that is opened anew. Only a list shows what has changed.
-test('changes are seen while every watch stays mute', async (t) => {
+// Guards against an operator's change that is accepted but never takes effect: the platform keeps
+// every watch open, also reopened ones, and sends nothing. Only a list contains the changes.
+test('changes are detected while all watches are open but deliver nothing', async (t) => {
   const platform = await startStandIn(t, { historyLength: 10, bookmarkMs: 30 });
   const store = connect(t, platform.urls['dc-a'], { watchIdleMs: 150, timeoutMs: 100 });
   const events: WatchEvent<Note>[] = [];
@@ -176,7 +182,7 @@
   await until('the second change', () => Object.keys(replay(events)).length === 2);
 });
 
-test('a stopped watch delivers nothing and leaves the platform', async (t) => {
+test('a stopped watch delivers nothing and closes its connection', async (t) => {
   const platform = await startStandIn(t);
   const store = connect(t, platform.urls['dc-a']);
   const events: WatchEvent<Note>[] = [];
@@ -184,11 +190,11 @@
   await until('watching', () => platform.state().entrances['dc-a']?.openWatches === 1);
   subscription.stop();
   platform.table.create('orders', 'a', '{"text":"1"}');
-  await until('gone', () => platform.state().entrances['dc-a']?.openWatches === 0);
+  await until('closed', () => platform.state().entrances['dc-a']?.openWatches === 0);
   assert.equal(events.length, 1);
 });
 
-test('the in-memory store has the same switches', async () => {
+test('the in-memory store injects the same faults', async () => {
   const store = new MemoryObjectStore();
   const other = store.view();
   const events: WatchEvent<Note>[] = [];
