--- a/packages/kernel/src/node/timeLimit.ts
+++ b/packages/kernel/src/node/timeLimit.ts
@@ -7,7 +7,7 @@
   /** Aborted when the time limit expires, or when the caller's signal is aborted. */
   readonly signal: AbortSignal;
   /** Whether the time limit has expired. */
-  readonly isOver: boolean;
+  readonly isExpired: boolean;
   /** Stops the timer. */
   end(): void;
 }
@@ -50,7 +50,7 @@
   });
   return {
     signal: signal ? AbortSignal.any([controller.signal, signal]) : controller.signal,
-    get isOver() {
+    get isExpired() {
       return controller.signal.aborted;
     },
     end,
--- a/packages/mesh/src/node/meshClient.ts
+++ b/packages/mesh/src/node/meshClient.ts
@@ -95,7 +95,7 @@
       });
       return Result.ok(output as ProcedureOutput<P>);
     } catch (err) {
-      if (!limit.isOver) return Result.err(toMeshError(err, procedure));
+      if (!limit.isExpired) return Result.err(toMeshError(err, procedure));
       const message = `${procedure}: no answer within ${String(timeoutMs)} ms`;
       return Result.err(new MeshError('timeout', message, { cause: err }));
     } finally {
--- a/packages/store/src/node/recoveryProbe.ts
+++ b/packages/store/src/node/recoveryProbe.ts
@@ -48,9 +48,9 @@
    * would otherwise send calls without a pause.
    */
   recordAnswer(): boolean {
-    const wasAway = this.isUnreachable;
+    const hadOutage = this.isUnreachable;
     this.stop();
-    return wasAway;
+    return hadOutage;
   }
 
   stop(): void {
--- a/test/store/httpObjectStore.test.ts
+++ b/test/store/httpObjectStore.test.ts
@@ -130,7 +130,7 @@
   assert.equal(store.reachable, true, 'a platform that throttles is reachable');
 });
 
-test('an aborted call ends at once', async (t) => {
+test('an aborted call ends immediately', async (t) => {
   const platform = await startStandIn(t);
   const store = connect(t, platform.urls['dc-a'], { timeoutMs: 10_000 });
   platform.setFaults('dc-a', { outage: 'silent' });
--- a/test/store/recoveryProbe.test.ts
+++ b/test/store/recoveryProbe.test.ts
@@ -56,24 +56,24 @@
         random: () => 1,
       });
       const breaks: string[] = [];
-      let heard = 0;
+      let confirmations = 0;
       store.watch(notes, {
         onEvent: () => undefined,
-        onHeard: () => (heard += 1),
+        onHeard: () => (confirmations += 1),
         onBreak: (reason) => breaks.push(reason),
       });
-      await until('listed', () => heard > 0);
+      await until('listed', () => confirmations > 0);
       platform.setFaults('dc-a', { outage });
       // after five consecutive failures the back-off is 1.5 s, counted from the last failure.
       await until('it has failed five times', () => breaks.length >= 5, 20_000);
       platform.setFaults('dc-a', { outage: 'none' });
       assert.ok(store.counters.get.sent > 0, 'probes were sent');
-      const before = heard;
+      const before = confirmations;
       await until('another user is answered', () => store.reachable);
       // an open watch gets a bookmark within ten milliseconds; these calls take some hundred, which is
       // much less than the remaining back-off.
-      for (let n = 0; n < 200 && heard === before; n += 1) await store.get(notes, 'none');
-      assert.ok(heard > before, 'the watch was answered in the meantime');
+      for (let n = 0; n < 200 && confirmations === before; n += 1) await store.get(notes, 'none');
+      assert.ok(confirmations > before, 'the watch was answered in the meantime');
     });
   }
 });
