--- a/packages/kernel/src/node/eventLog.ts
+++ b/packages/kernel/src/node/eventLog.ts
@@ -16,7 +16,10 @@
   /** Number of lines dropped so far because the output was not read fast enough. */
   abstract readonly dropped: number;
 
-  /** Resolves when the buffered lines are written, or after a timeout. Call it before the process exits. */
+  /**
+   * Resolves when the buffered lines are written, or after a timeout. Call it before the process
+   * exits.
+   */
   abstract close(): Promise<void>;
 }
 
@@ -84,7 +87,8 @@
     if (!output) return Promise.resolve();
     return new Promise((resolve) => {
       setTimeout(resolve, CLOSE_TIMEOUT_MS);
-      // emitted when the buffer is empty; sonic-boom's own flush does not wait for a write in progress.
+      // emitted when the buffer is empty; sonic-boom's own flush does not wait for a write in
+      // progress.
       output.once('drain', resolve);
     });
   }
--- a/packages/kernel/src/node/httpExchange.ts
+++ b/packages/kernel/src/node/httpExchange.ts
@@ -52,7 +52,8 @@
       finish(Result.err({ reason, cause }));
       req.destroy();
     };
-    // one timer for the whole exchange, so that a peer that sends single bytes slowly also times out.
+    // one timer for the whole exchange, so that a peer that sends single bytes slowly also times
+    // out.
     const stopTimer = onTimeOver(call.timeoutMs, () => {
       fail('timeout');
     });
--- a/packages/kernel/src/node/pendingReads.ts
+++ b/packages/kernel/src/node/pendingReads.ts
@@ -1,8 +1,9 @@
 /** Waits for data that the operating system has received but this process has not read yet. */
 
 /**
- * Resolves when each connection with unread data has been read again. It waits for two iterations of
- * the event loop: what a caller sent and the end of its connection are read in separate iterations.
+ * Resolves when each connection with unread data has been read again. It waits for two iterations
+ * of the event loop: what a caller sent and the end of its connection are read in separate
+ * iterations.
  *
  * @example
  * await pendingReads();
--- a/packages/kernel/src/runtime/channel.ts
+++ b/packages/kernel/src/runtime/channel.ts
@@ -34,7 +34,9 @@
     return !this.raw.isClosed() && csp.offer(this.raw, value);
   }
 
-  /** Takes the next value from outside a process; `undefined` if the channel is closed and empty. */
+  /**
+   * Takes the next value from outside a process; `undefined` if the channel is closed and empty.
+   */
   async next(): Promise<T | undefined> {
     return new Promise((resolve) => {
       csp.takeAsync(this.raw, (value) => {
@@ -103,8 +105,8 @@
 }
 
 /**
- * Starts a process. The promise resolves when the body ends, also if it throws; the error is passed to
- * `onFailure`.
+ * Starts a process. The promise resolves when the body ends, also if it throws; the error is passed
+ * to `onFailure`.
  *
  * @example
  * const done = startProcess(function* () {
--- a/packages/kernel/src/runtime/clock.ts
+++ b/packages/kernel/src/runtime/clock.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * Milliseconds since the process started, not affected by changes of the system clock. For processes
- * that use time only to measure durations.
+ * Milliseconds since the process started, not affected by changes of the system clock. For
+ * processes that use time only to measure durations.
  */
 export class MonotonicClock extends Clock {
   override now(): number {
--- a/packages/kernel/src/runtime/kernel.ts
+++ b/packages/kernel/src/runtime/kernel.ts
@@ -1,4 +1,7 @@
-/** Micro-kernel: services register under a name, find each other by name, and start and stop in order. */
+/**
+ * Micro-kernel: services register under a name, find each other by name, and start and stop in
+ * order.
+ */
 
 import { LayerError } from '../utils/layerError.js';
 
@@ -70,7 +73,9 @@
     this.#onFailure(err, service);
   }
 
-  /** Starts all services, dependencies first. If one fails, stops those already started and throws. */
+  /**
+   * Starts all services, dependencies first. If one fails, stops those already started and throws.
+   */
   async start(): Promise<void> {
     for (const service of this.#startOrder()) {
       try {
--- a/packages/kernel/src/types/jsCsp.d.ts
+++ b/packages/kernel/src/types/jsCsp.d.ts
@@ -1,4 +1,6 @@
-/** Types for the part of js-csp that the channel module uses; the library has no type declarations. */
+/**
+ * Types for the part of js-csp that the channel module uses; the library has no type declarations.
+ */
 declare module 'js-csp' {
   interface RawChannel {
     close(): void;
--- a/packages/kernel/src/utils/layerError.ts
+++ b/packages/kernel/src/utils/layerError.ts
@@ -1,7 +1,8 @@
 /** Base of all error classes. Each layer has its own subclass and wraps errors of lower layers. */
 
 /**
- * An error of one layer, with a code from a closed set and, as its cause, the error of a lower layer.
+ * An error of one layer, with a code from a closed set and, as its cause, the error of a lower
+ * layer.
  *
  * @example
  * class PlatformError extends LayerError<'conflict' | 'unreachable'> {
--- a/packages/mesh/src/node/meshClient.ts
+++ b/packages/mesh/src/node/meshClient.ts
@@ -24,7 +24,10 @@
   secret?: string | undefined;
   /** Milliseconds for a whole call. @default 1000 */
   timeoutMs?: number;
-  /** Maximum number of calls in flight to one peer; further calls fail without being sent. @default 64 */
+  /**
+   * Maximum number of calls in flight to one peer; further calls fail without being sent.
+   * @default 64
+   */
   maxPerPeer?: number;
   /** Local IP address of connections. @default chosen by the operating system */
   localAddress?: string;
@@ -34,7 +37,10 @@
 export interface MeshTarget {
   /** `http://host:port` of the peer's mesh listener. */
   meshUrl: string;
-  /** Incarnation of the peer that the call is meant for; optional only for heartbeats, loans and gossip. */
+  /**
+   * Incarnation of the peer that the call is meant for; optional only for heartbeats, loans and
+   * gossip.
+   */
   incarnation?: IncarnationId;
 }
 
--- a/packages/mesh/src/node/meshServer.ts
+++ b/packages/mesh/src/node/meshServer.ts
@@ -14,7 +14,9 @@
 
 const defaultMaxBodyBytes = 4 * 1024 * 1024;
 const defaultMaxConcurrent = 256;
-/** Longer than the interval between two heartbeats to the same peer, so that connections stay open. */
+/**
+ * Longer than the interval between two heartbeats to the same peer, so that connections stay open.
+ */
 const keepAliveTimeoutMs = 30_000;
 const headersTimeoutMs = 5_000;
 const requestTimeoutMs = 10_000;
@@ -83,7 +85,10 @@
     this.#reportStatus = report;
   }
 
-  /** Sets the check for incarnations of this process; calls meant for other incarnations are refused. */
+  /**
+   * Sets the check for incarnations of this process; calls meant for other incarnations are
+   * refused.
+   */
   recogniseSelf(isSelf: (incarnation: string) => boolean): void {
     this.#isSelf = isSelf;
   }
--- a/packages/mesh/src/runtime/meshRouter.ts
+++ b/packages/mesh/src/runtime/meshRouter.ts
@@ -1,4 +1,7 @@
-/** tRPC router of the mesh listener. It has only mutations, because tRPC puts the input of queries into URLs. */
+/**
+ * tRPC router of the mesh listener. It has only mutations, because tRPC puts the input of queries
+ * into URLs.
+ */
 
 import type { MeshHandler, ProcedureName } from '../types/procedures.js';
 import { initTRPC, TRPCError } from '@trpc/server';
@@ -53,8 +56,8 @@
 }
 
 /**
- * Procedures that may omit the recipient's incarnation: heartbeats are how incarnations become known,
- * a loan request contains its lender's incarnation, and gossip is meant for any process.
+ * Procedures that may omit the recipient's incarnation: heartbeats are how incarnations become
+ * known, a loan request contains its lender's incarnation, and gossip is meant for any process.
  */
 const RECIPIENT_OPTIONAL: ReadonlySet<ProcedureName> = new Set([
   'heartbeat',
@@ -63,9 +66,9 @@
 ]);
 
 /**
- * Refuses a call that is meant for another incarnation. A new process at the address of an earlier one
- * does not have that one's memory. If it answered "no lines stored" as a witness in its place, a
- * holder would be sealed without bills that its callers have already seen.
+ * Refuses a call that is meant for another incarnation. A new process at the address of an earlier
+ * one does not have that one's memory. If it answered "no lines stored" as a witness in its place,
+ * a holder would be sealed without bills that its callers have already seen.
  */
 function checkRecipient(
   ports: MeshRouterPorts,
--- a/packages/mesh/src/runtime/schemas.ts
+++ b/packages/mesh/src/runtime/schemas.ts
@@ -26,7 +26,10 @@
 /** Maximum number of requests that one instance has in flight at one server. */
 const maxInFlight = 1_024;
 const maxFingerprintLength = 64;
-/** Maximum length of a stored answer in base64. The body limit applies to the whole call in addition. */
+/**
+ * Maximum length of a stored answer in base64. The body limit applies to the whole call in
+ * addition.
+ */
 const maxStoredAnswerLength = 2 * 1024 * 1024;
 
 const id = z.string().min(1).max(maxIdLength);
--- a/packages/mesh/src/types/procedures.ts
+++ b/packages/mesh/src/types/procedures.ts
@@ -45,7 +45,9 @@
   pullConfiguration: { input: { since: number }; output: ConfigurationUpdate };
   /** Asks a lender for tokens of prepaid budgets; the request contains the lender's incarnation. */
   borrow: { input: LoanRequest; output: LoanAnswer };
-  /** Sends gossip and requests the facts that the caller is missing; each fact contains its origin. */
+  /**
+   * Sends gossip and requests the facts that the caller is missing; each fact contains its origin.
+   */
   exchangeNews: { input: GossipMessage; output: GossipMessage };
   shareHints: { input: { hints: Hint[] }; output: 'taken' };
 }
--- a/packages/mesh/src/utils/meshError.ts
+++ b/packages/mesh/src/utils/meshError.ts
@@ -3,8 +3,9 @@
 import { LayerError } from '@flamingocourse/kernel';
 
 /**
- * `unreachable`, `timeout`: no usable answer arrived; the call may have taken effect. `refused`: the
- * call had no effect and will have none. `invalid`: the input was not accepted; the call had no effect.
+ * `unreachable`, `timeout`: no usable answer arrived; the call may have taken effect. `refused`:
+ * the call had no effect and will have none. `invalid`: the input was not accepted; the call had no
+ * effect.
  */
 export type MeshErrorCode = 'unreachable' | 'timeout' | 'refused' | 'invalid';
 
--- a/packages/store/src/node/httpObjectStore.ts
+++ b/packages/store/src/node/httpObjectStore.ts
@@ -29,7 +29,7 @@
 import { PlatformError } from '../utils/platformError.js';
 import { ObjectApiDialect } from './objectApiDialect.js';
 import { ObjectWatch } from './objectWatch.js';
-import { RecoveryProbe } from './recoveryProbe.js';
+import { RecoveryProbe } from './returnProbe.js';
 import {
   checkObject,
   faultToError,
@@ -42,7 +42,10 @@
 /** Lists contain whole values, so they may exceed the limit of 1 MiB for a single value. */
 const maxAnswerBytes = 64 * 1024 * 1024;
 const maxSockets = 16;
-/** Longer than the platform's bookmark interval. Including the list that follows, a change is known within 3 s. */
+/**
+ * Longer than the platform's bookmark interval. Including the list that follows, a change is known
+ * within 3 s.
+ */
 const defaultWatchIdleMs = 2_000;
 
 /** Options of the client. */
@@ -304,8 +307,9 @@
   ): void {
     if (result.isErr) this.countFailed(kind);
     const failed = result.isErr && result.error.code === 'unreachable';
-    // a call that its caller aborted says nothing about the platform. The single call of a half-open
-    // circuit counts nevertheless: without an outcome, the circuit would never admit a call again.
+    // a call that its caller aborted says nothing about the platform. The single call of a
+    // half-open circuit counts nevertheless: without an outcome, the circuit would never admit a
+    // call again.
     if (failed && signal?.aborted && this.#circuit.phase !== 'half-open') return;
     if (failed) this.#startProbing();
     else if (result.isOk || result.error.code !== 'throttled') this.#recordAnswer();
@@ -333,7 +337,9 @@
   return list;
 }
 
-/** Returns an array that is empty for a malformed entry, so that the other instances stay usable. */
+/**
+ * Returns an array that is empty for a malformed entry, so that the other instances stay usable.
+ */
 function parseInstance(item: unknown): InstanceRecord[] {
   const parsed = wireInstanceSchema.safeParse(item);
   return parsed.success ? [parsed.data] : [];
--- a/packages/store/src/node/objectApiDialect.ts
+++ b/packages/store/src/node/objectApiDialect.ts
@@ -1,4 +1,6 @@
-/** The Object API of docs/design/protocols.md. A watch is a stream with one JSON line per change. */
+/**
+ * The Object API of docs/design/protocols.md. A watch is a stream with one JSON line per change.
+ */
 
 import type { HttpAnswer } from '@flamingocourse/kernel';
 import type { Result } from 'true-myth';
--- a/packages/store/src/node/objectWatch.ts
+++ b/packages/store/src/node/objectWatch.ts
@@ -1,4 +1,7 @@
-/** A watch that runs until it is stopped: resumes, backs off, and lists again if its version is too old. */
+/**
+ * A watch that runs until it is stopped: resumes, backs off, and lists again if its version is too
+ * old.
+ */
 
 import type { Steps } from '@flamingocourse/kernel';
 import type { Agent } from 'node:http';
@@ -21,7 +24,9 @@
   agent: Agent;
   idleMs: number;
   random: () => number;
-  /** Whether the store is unreachable. Then only probes are sent: other calls would hang or cost. */
+  /**
+   * Whether the store is unreachable. Then only probes are sent: other calls would hang or cost.
+   */
   isUnreachable: () => boolean;
   onOpen: () => void;
   /** Called when the store sent something to this watch. */
@@ -60,8 +65,8 @@
   }
 
   /**
-   * Called after an outage of the store. Ends a back-off, or aborts the call in flight so that it is
-   * sent again: a call sent during the outage would hang until its timeout.
+   * Called after an outage of the store. Ends a back-off, or aborts the call in flight so that it
+   * is sent again: a call sent during the outage would hang until its timeout.
    */
   wake(): void {
     this.#failures = 0;
@@ -127,8 +132,9 @@
 
   #handleEnd(end: WatchEnd): void {
     if (end === 'stopped' || end === 'answered') return;
-    // too-old: the platform's history no longer has the missed changes. silent: a platform that keeps
-    // watches open, even new ones, and sends nothing would hide all changes. A list contains them.
+    // too-old: the platform's history no longer has the missed changes. silent: a platform that
+    // keeps watches open, even new ones, and sends nothing would hide all changes. A list contains
+    // them.
     if (end === 'too-old' || end === 'silent') this.#version = undefined;
     this.ports.onBreak(end);
     this.#recordFailure(end);
--- a/packages/store/src/node/recoveryProbe.ts
+++ b/packages/store/src/node/returnProbe.ts
@@ -2,21 +2,26 @@
 
 /** Average interval between two probes, in milliseconds. */
 const PROBE_INTERVAL_MS = 250;
-/** Fraction of the interval that is random, so that instances do not all probe at the same moment. */
+/**
+ * Fraction of the interval that is random, so that instances do not all probe at the same moment.
+ */
 const PROBE_JITTER = 0.5;
 
 /** Dependencies of a {@link RecoveryProbe}. */
 export interface ProbePorts {
-  /** Sends one small read on a new connection; {@link RecoveryProbe.recordAnswer} is called if it succeeds. */
+  /**
+   * Sends one small read on a new connection; {@link RecoveryProbe.recordAnswer} is called if it
+   * succeeds.
+   */
   send: () => void;
   /** Numbers from 0 to 1. */
   random: () => number;
 }
 
 /**
- * Sends small reads while the store does not answer. Hanging calls, back-offs and the circuit breaker
- * each delay the recovery; together they take longer than a change may stay unknown. So the first
- * answer to a probe ends all of these waits.
+ * Sends small reads while the store does not answer. Hanging calls, back-offs and the circuit
+ * breaker each delay the recovery; together they take longer than a change may stay unknown. So the
+ * first answer to a probe ends all of these waits.
  *
  * @example
  * const probe = new RecoveryProbe({ send, random: Math.random });
@@ -43,9 +48,9 @@
   }
 
   /**
-   * Records an answer of the store and stops probing. Returns whether there was an outage. If only one
-   * answer was lost it returns false, so that no watch is woken: a watch whose answers are all unusable
-   * would otherwise send calls without a pause.
+   * Records an answer of the store and stops probing. Returns whether there was an outage. If only
+   * one answer was lost it returns false, so that no watch is woken: a watch whose answers are all
+   * unusable would otherwise send calls without a pause.
    */
   recordAnswer(): boolean {
     const hadOutage = this.isUnreachable;
--- a/packages/store/src/node/watchConnection.ts
+++ b/packages/store/src/node/watchConnection.ts
@@ -1,4 +1,6 @@
-/** One connection of a watch: reads newline-delimited JSON until it ends, fails or is idle too long. */
+/**
+ * One connection of a watch: reads newline-delimited JSON until it ends, fails or is idle too long.
+ */
 
 import type { Agent, IncomingMessage } from 'node:http';
 import type { WatchEnd } from '../runtime/storeDialect.js';
@@ -33,7 +35,8 @@
       finish('stopped');
     };
     // a platform that stops sending may keep the TCP connection open: without this timer the watch
-    // would wait forever and miss all later changes. In a healthy watch, bookmarks restart the timer.
+    // would wait forever and miss all later changes. In a healthy watch, bookmarks restart the
+    // timer.
     const idleTimer = setTimeout(() => {
       finish('silent');
     }, call.idleMs);
--- a/packages/store/src/runtime/backOff.ts
+++ b/packages/store/src/runtime/backOff.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * Returns the delay before the next retry, in milliseconds. Half of it is random, so that routers that
- * lost the platform at the same time do not all retry at the same moment.
+ * Returns the delay before the next retry, in milliseconds. Half of it is random, so that routers
+ * that lost the platform at the same time do not all retry at the same moment.
  *
  * @example
  * backOffMs(0, { firstMs: 100, maxMs: 2_000 }, () => 0.5); // 75
--- a/packages/store/src/runtime/circuit.ts
+++ b/packages/store/src/runtime/circuit.ts
@@ -53,8 +53,8 @@
 }
 
 /**
- * Records the outcome of a call. An answer with any status closes the circuit, because it shows that
- * the platform is reachable.
+ * Records the outcome of a call. An answer with any status closes the circuit, because it shows
+ * that the platform is reachable.
  *
  * @example
  * circuit = recordOutcome(circuit, 'failed', now, defaultCircuitOptions);
--- a/packages/store/src/runtime/latestChanges.ts
+++ b/packages/store/src/runtime/latestChanges.ts
@@ -3,8 +3,8 @@
 import type { WireChange } from './storeDialect.js';
 
 /**
- * Returns the last change of each object, in the original order. Intermediate versions are not needed,
- * and validating a large object costs more than all other processing of it.
+ * Returns the last change of each object, in the original order. Intermediate versions are not
+ * needed, and validating a large object costs more than all other processing of it.
  *
  * @example
  * latestChanges([{ type: 'removed', name: 'a' }, { type: 'changed', object: a }]); // the second
--- a/packages/store/src/runtime/memoryObjectStore.ts
+++ b/packages/store/src/runtime/memoryObjectStore.ts
@@ -30,7 +30,8 @@
 type Watcher = (change: StoredChange) => void;
 
 /**
- * In-memory store. {@link view} creates further clients of the same objects, each with its own faults.
+ * In-memory store. {@link view} creates further clients of the same objects, each with its own
+ * faults.
  *
  * @example
  * const store = new MemoryObjectStore();
--- a/packages/store/src/runtime/storeDialect.ts
+++ b/packages/store/src/runtime/storeDialect.ts
@@ -35,7 +35,10 @@
 export type WireChange =
   { type: 'changed'; object: WireObject } | { type: 'removed'; name: string };
 
-/** Why a watch connection ended. `answered`: all changes were delivered; the next call continues after them. */
+/**
+ * Why a watch connection ended. `answered`: all changes were delivered; the next call continues
+ * after them.
+ */
 export type WatchEnd =
   'answered' | 'ended' | 'stopped' | 'too-old' | 'throttled' | 'refused' | 'broken' | 'silent';
 
--- a/packages/store/src/types/objects.ts
+++ b/packages/store/src/types/objects.ts
@@ -58,8 +58,8 @@
   /** Milliseconds without data after which the watch is reopened. @default the store's setting */
   idleMs?: number;
   /**
-   * Milliseconds that the watch pauses after changes. For stores that answer a call as soon as there
-   * is one change: changes made close together then arrive in one answer. @default 0
+   * Milliseconds that the watch pauses after changes. For stores that answer a call as soon as
+   * there is one change: changes made close together then arrive in one answer. @default 0
    */
   gatherMs?: number;
   onEvent: (event: WatchEvent<T>) => void;
--- a/packages/store/src/utils/platformError.ts
+++ b/packages/store/src/utils/platformError.ts
@@ -4,9 +4,9 @@
 
 /**
  * `conflict`: another version is current. `exists`: the name is in use. `unreachable`: no usable
- * answer arrived. `too-large`: the value or the answer exceeds the limit. `throttled`: the platform's
- * rate limit is exceeded. `invalid`: the value or the answer does not match its schema. `too-old`:
- * the history no longer has the changes after the version.
+ * answer arrived. `too-large`: the value or the answer exceeds the limit. `throttled`: the
+ * platform's rate limit is exceeded. `invalid`: the value or the answer does not match its schema.
+ * `too-old`: the history no longer has the changes after the version.
  */
 export type PlatformErrorCode =
   | 'conflict'
--- a/test/kernel/timeLimit.test.ts
+++ b/test/kernel/timeLimit.test.ts
@@ -11,7 +11,10 @@
 const LIMIT_MS = 100;
 const BLOCK_MS = 250;
 
-/** Starts a server that answers immediately; it then blocks the event loop for longer than the limit. */
+/**
+ * Starts a server that answers immediately; it then blocks the event loop for longer than the
+ * limit.
+ */
 async function serve(
   t: TestContext,
   blockedAt: 'connection' | 'answer',
@@ -34,8 +37,8 @@
   return { url: `http://127.0.0.1:${String(port)}`, port };
 }
 
-// Guards against an instance with a lagging event loop that considers the store or servers unreachable,
-// although their answers have arrived and are only not read yet.
+// Guards against an instance with a lagging event loop that considers the store or servers
+// unreachable, although their answers have arrived and are only not read yet.
 test('an exchange accepts an answer that arrived before its timeout', async (t) => {
   const { url } = await serve(t, 'answer');
   const answer = await exchange({
@@ -48,7 +51,8 @@
   assert.equal(answer.isOk, true);
 });
 
-// The same for a backend server: otherwise a healthy one is avoided and its request is also sent to another.
+// The same for a backend server: otherwise a healthy one is avoided and its request is also sent to
+// another.
 for (const blockedAt of ['connection', 'answer'] as const) {
   test(`an attempt accepts the ${blockedAt} that arrived before its timeout`, async (t) => {
     const { url } = await serve(t, blockedAt);
--- a/test/mesh/configuration.test.ts
+++ b/test/mesh/configuration.test.ts
@@ -122,7 +122,8 @@
 
 test('a change reaches all routers within 3 s, and one of them watches', async (t) => {
   const platform = new MemoryObjectStore();
-  // if nothing is declared, a router lists the platform again each second, independent of heartbeats.
+  // if nothing is declared, a router lists the platform again each second, independent of
+  // heartbeats.
   await declare(platform, 'first', 1);
   const { routers, stores } = await startCentre(t, platform, 4);
   await until('one watches', () => {
@@ -154,8 +155,9 @@
   await untilInTime('in force', others, () => others.every((r) => tokensOf(r, 'club') === 7));
 });
 
-// Guards against old settings that return: a router restarts, the platform gives it a stale list, and it
-// passes this list on to its peers. The newer state of the peers must win in both directions.
+// Guards against old settings that return: a router restarts, the platform gives it a stale list,
+// and it passes this list on to its peers. The newer state of the peers must win in both
+// directions.
 test('a stale list after a restart reverts nothing', async (t) => {
   const platform = new MemoryObjectStore();
   await declare(platform, 'club', 1);
@@ -331,8 +333,8 @@
   });
 }
 
-// Guards against a deleted account that keeps working at one router: the router was unreachable during
-// the deletion, and the peer that it pulls from listed the platform only after the deletion.
+// Guards against a deleted account that keeps working at one router: the router was unreachable
+// during the deletion, and the peer that it pulls from listed the platform only after the deletion.
 test('a peer that never saw a deletion passes it on in a complete update', () => {
   const outdated = mergeUpdate(createConfigStore(), complete(5, at('a', 1), at('b', 2)));
   const fresh = mergeUpdate(createConfigStore(), complete(9, at('a', 1)));
--- a/test/mesh/fixtures.ts
+++ b/test/mesh/fixtures.ts
@@ -1,4 +1,7 @@
-/** Fixtures: routers of a small fleet in this process, with mesh, fleet and configuration services only. */
+/**
+ * Fixtures: routers of a small fleet in this process, with mesh, fleet and configuration services
+ * only.
+ */
 
 import type { TestContext } from 'node:test';
 import type { Declaration, MemberInfo } from '@flamingocourse/core';
--- a/test/mesh/fleet.test.ts
+++ b/test/mesh/fleet.test.ts
@@ -73,8 +73,8 @@
   for (const key of ['a', 'b', 'c', 'd']) assert.equal(r1.fleet.localOwner(key), r1.fleet.self);
 });
 
-// Guards against a data centre that stalls because a stopped router keeps its duties until its failure
-// is detected. Its last heartbeat must hand them over immediately.
+// Guards against a data centre that stalls because a stopped router keeps its duties until its
+// failure is detected. Its last heartbeat must hand them over immediately.
 test('a graceful stop hands duties over before the failure is detected', async (t) => {
   const [r1, r2] = await startFleet(t);
   assert.ok(r1 && r2);
@@ -136,8 +136,9 @@
   assert.ok(pull.isOk);
 });
 
-// Guards against a router that seals all its peers after its machine was suspended: on resume, it had
-// received nothing for minutes and considered all peers gone before the first heartbeat arrived.
+// Guards against a router that seals all its peers after its machine was suspended: on resume, it
+// had received nothing for minutes and considered all peers gone before the first heartbeat
+// arrived.
 test('a router that resumes after a pause does not consider its peers gone', () => {
   const table = new MembershipTable(createMember('r1'), times, []);
   const message = { info: createMember('r2'), digest: [], members: [] };
--- a/test/mesh/mesh.test.ts
+++ b/test/mesh/mesh.test.ts
@@ -142,8 +142,8 @@
   });
 }
 
-// Guards against a crashed holder that is sealed without its bill: a new process at the address of its
-// witness answers instead of the witness.
+// Guards against a crashed holder that is sealed without its bill: a new process at the address of
+// its witness answers instead of the witness.
 for (const incarnation of ['dc-a/ruter-1é/ffffffffffff', undefined]) {
   test(`a call meant for ${incarnation ?? 'no stated incarnation'} is refused`, async (t) => {
     const { server, target } = await startServer(t);
--- a/test/store/httpObjectStore.test.ts
+++ b/test/store/httpObjectStore.test.ts
@@ -70,8 +70,8 @@
   assert.equal((await b.list(notes)).unwrapOrElse(failTest).items.length, 0);
 });
 
-// Guards against a top-up that is done twice: a write takes effect, its reply is lost, and the client
-// reports it as failed without effect, so that it is retried.
+// Guards against a top-up that is done twice: a write takes effect, its reply is lost, and the
+// client reports it as failed without effect, so that it is retried.
 const lostWrites: { name: string; run: Run; seen: string | undefined }[] = [
   { name: 'create', run: (s) => s.create(notes, 'new', { text: 'kept' }), seen: 'kept' },
   { name: 'update', run: (s, v) => s.update(notes, 'n', v, { text: 'kept' }), seen: 'kept' },
@@ -93,8 +93,9 @@
   });
 }
 
-// Guards against slow refusals during an outage, when each request waits for the whole timeout. After a
-// few failures the circuit must refuse calls immediately, and it must close soon after the outage.
+// Guards against slow refusals during an outage, when each request waits for the whole timeout.
+// After a few failures the circuit must refuse calls immediately, and it must close soon after the
+// outage.
 test('during an outage the circuit refuses calls immediately, and closes after it', async (t) => {
   const platform = await startStandIn(t);
   const store = connect(t, platform.urls['dc-a'], { timeoutMs: 60 });
--- a/test/store/recoveryProbe.test.ts
+++ b/test/store/returnProbe.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { ObjectApiDialect } from '@flamingocourse/store';
-import { RecoveryProbe } from '../../packages/store/src/node/recoveryProbe.js';
+import { RecoveryProbe } from '../../packages/store/src/node/returnProbe.js';
 import { connect, notes, startStandIn, until } from './fixtures.js';
 
 describe('a probe for the recovery of the store', () => {
@@ -44,8 +44,8 @@
   }
 });
 
-// Guards against a new key or the removal of a server that stays unknown for seconds after the store has
-// recovered, because a watch of the client is still in its back-off.
+// Guards against a new key or the removal of a server that stays unknown for seconds after the
+// store has recovered, because a watch of the client is still in its back-off.
 describe('the recovery of the store', () => {
   for (const outage of ['refuse', 'silent'] as const) {
     test(`wakes a watch that backs off (${outage})`, async (t) => {
@@ -70,8 +70,8 @@
       assert.ok(store.counters.get.sent > 0, 'probes were sent');
       const before = confirmations;
       await until('another user is answered', () => store.reachable);
-      // an open watch gets a bookmark within ten milliseconds; these calls take some hundred, which is
-      // much less than the remaining back-off.
+      // an open watch gets a bookmark within ten milliseconds; these calls take some hundred, which
+      // is much less than the remaining back-off.
       for (let n = 0; n < 200 && confirmations === before; n += 1) await store.get(notes, 'none');
       assert.ok(confirmations > before, 'the watch was answered in the meantime');
     });
@@ -88,8 +88,8 @@
   }
 }
 
-// Guards against flooding the store with calls: an unreadable answer counts as a failure, the probe is
-// answered immediately, and that wakes the watch, which sends the same call again.
+// Guards against flooding the store with calls: an unreadable answer counts as a failure, the probe
+// is answered immediately, and that wakes the watch, which sends the same call again.
 test('a watch whose answers are unusable backs off although the store is reachable', async (t) => {
   const platform = await startStandIn(t);
   const dialect = new UnusableAnswerDialect();
--- a/test/store/watch.test.ts
+++ b/test/store/watch.test.ts
@@ -120,7 +120,8 @@
   await until('confirmed several times', () => confirmations >= 4);
 });
 
-// Guards against changes that never take effect because they were made while a watch was interrupted.
+// Guards against changes that never take effect because they were made while a watch was
+// interrupted.
 const breaks: readonly {
   name: string;
   faults: { outage: 'refuse' | 'silent' };
