--- a/packages/store/src/node/returnProbe.ts
+++ b/packages/store/src/node/returnProbe.ts
@@ -1,29 +1,34 @@
-/** Finds out when a store that does not answer is back. */
+/** Detects when a store answers again after an outage. */
 
-/** Milliseconds between two probes, on average. */
-const PROBE_MS = 250;
-/** Part of that by which they are spread, so that instances don't come back to the store at once. */
+/** Average interval between two probes, in milliseconds. */
+const PROBE_INTERVAL_MS = 250;
+/**
+ * Fraction of the interval that is random, so that instances do not all probe at the same moment.
+ */
 const PROBE_JITTER = 0.5;
 
-/** What a probe needs from its store. */
+/** Dependencies of a {@link RecoveryProbe}. */
 export interface ProbePorts {
-  /** Sends one small read on a connection of its own; whether it was usefully answered is told by {@link ReturnProbe.heard}. */
+  /**
+   * Sends one small read on a new connection; {@link RecoveryProbe.recordAnswer} is called if it
+   * succeeds.
+   */
   send: () => void;
   /** Numbers from 0 to 1. */
   random: () => number;
 }
 
 /**
- * Small reads while the store does not answer. Each user of the store waits for its return in its own
- * way: a call that hangs, a back-off, a circuit. In sum these take longer than changes may stay unknown
- * here, so the first answer to a probe wakes all of them.
+ * Sends small reads while the store does not answer. Hanging calls, back-offs and the circuit
+ * breaker each delay the recovery; together they take longer than a change may stay unknown. So the
+ * first answer to a probe ends all of these waits.
  *
  * @example
- * const probe = new ReturnProbe({ send, random: Math.random });
- * probe.suspect(); // a call failed
- * if (probe.heard()) wakeAll(); // some call was answered, after the store was away
+ * const probe = new RecoveryProbe({ send, random: Math.random });
+ * probe.recordFailure(); // a call failed
+ * if (probe.recordAnswer()) wakeAll(); // a call was answered after an outage
  */
-export class ReturnProbe {
+export class RecoveryProbe {
   readonly #ports: ProbePorts;
   #timer: NodeJS.Timeout | undefined;
   #sent = 0;
@@ -32,24 +37,25 @@
     this.#ports = ports;
   }
 
-  /** Whether a probe was left without an answer until the next one was due, and none was answered since. */
-  get isAway(): boolean {
+  /** Whether a probe got no answer before the next one was due, and no call was answered since. */
+  get isUnreachable(): boolean {
     return this.#sent > 1;
   }
 
-  /** A call got no useful answer: begins to probe, unless that was begun. */
-  suspect(): void {
+  /** Records that a call got no usable answer. Starts probing if it is not running. */
+  recordFailure(): void {
     if (this.#sent === 0) this.#send();
   }
 
   /**
-   * The store answered some call; ends probing. Returns whether it was away. If only an answer was lost
-   * nobody is to be woken: a watch whose answers are all useless would ask without a pause.
+   * Records an answer of the store and stops probing. Returns whether there was an outage. If only
+   * one answer was lost it returns false, so that no watch is woken: a watch whose answers are all
+   * unusable would otherwise send calls without a pause.
    */
-  heard(): boolean {
-    const wasAway = this.isAway;
+  recordAnswer(): boolean {
+    const hadOutage = this.isUnreachable;
     this.stop();
-    return wasAway;
+    return hadOutage;
   }
 
   stop(): void {
@@ -59,7 +65,8 @@
 
   #send(): void {
     this.#sent += 1;
-    const pauseMs = PROBE_MS * (1 - PROBE_JITTER / 2 + PROBE_JITTER * this.#ports.random());
+    const pauseMs =
+      PROBE_INTERVAL_MS * (1 - PROBE_JITTER / 2 + PROBE_JITTER * this.#ports.random());
     this.#timer = setTimeout(() => {
       this.#send();
     }, pauseMs).unref();
