--- a/packages/mesh/src/runtime/meshRouter.ts
+++ b/packages/mesh/src/runtime/meshRouter.ts
@@ -48,7 +48,7 @@
     if (!ctx.trusted) throw refusal('UNAUTHORIZED', 'the mesh secret does not match');
     checkRecipient(ports, procedure, ctx.to);
     const handler = ports.handler(procedure);
-    if (!handler) throw refusal('PRECONDITION_FAILED', `${procedure} has no handler yet`);
+    if (!handler) throw refusal('PRECONDITION_FAILED', `${procedure} is not served here yet`);
     const result = await handler(input);
     if (result.isErr) throw refusal('PRECONDITION_FAILED', result.error);
     return result.value;
@@ -77,10 +77,7 @@
 ): void {
   if (to === undefined && RECIPIENT_OPTIONAL.has(procedure)) return;
   if (to !== undefined && ports.isSelf(to)) return;
-  throw refusal(
-    'PRECONDITION_FAILED',
-    `this process is not ${to ?? 'the recipient: the call states none'}`,
-  );
+  throw refusal('PRECONDITION_FAILED', `this process is not ${to ?? 'named in the call'}`);
 }
 
 function refusal(code: 'UNAUTHORIZED' | 'PRECONDITION_FAILED', message: string): TRPCError {
