--- a/packages/lab/src/node/demo/runDemo.ts
+++ b/packages/lab/src/node/demo/runDemo.ts
@@ -134,7 +134,7 @@
   options.onProgress(`export FLAMINGOCOURSE_ENTRY=${entry} FLAMINGOCOURSE_OTHER_ENTRY=${other}`);
   options.onProgress(`export FLAMINGOCOURSE_KEY=demo-${exampleAccount}`);
   options.onProgress(`export FLAMINGOCOURSE_PLATFORM=${platform.operatorsUrl}`);
-  options.onProgress('still running; stop with Ctrl-C');
+  options.onProgress('running on; end with Ctrl-C');
   await once(options.signal, 'abort');
 }
 
