--- a/packages/lab/src/runtime/walk/decodeItf.ts
+++ b/packages/lab/src/runtime/walk/decodeItf.ts
@@ -1,4 +1,7 @@
-/** Reads values of the Informal Trace Format: maps become objects, sets sorted lists. */
+/**
+ * Decodes the Informal Trace Format (ITF), in which Quint writes traces: maps become objects, and
+ * sets become sorted arrays.
+ */
 
 /**
  * Decodes one state of a trace.
--- a/packages/lab/src/runtime/walk/findViolation.ts
+++ b/packages/lab/src/runtime/walk/findViolation.ts
@@ -1,12 +1,12 @@
-/** What must hold in every state of the small world. */
+/** Invariants that every state of the model must satisfy. */
 
 import type { IncarnationId, JournalLine, JournalState } from '@flamingocourse/core';
-import type { World } from './types.js';
+import type { SystemState } from './types.js';
 import { checkInvariant, checkLedgerInvariant, finishSeal, startSeal } from '@flamingocourse/core';
-import { ACCOUNT, dataCentreOf, spenderOf } from './createWorld.js';
+import { ACCOUNT, dataCentreOf, spenderOf } from './initialState.js';
 import { NON_IDEMPOTENT } from './rules.js';
 
-/** Names of the invariants, as printed beside a mutant that breaks one. */
+/** Broken invariants, as the mutant report prints them. */
 export type Violation =
   | 'ledger grants more than the limit'
   | 'limit is above what was paid'
@@ -21,90 +21,91 @@
   | 'ran although said not to have run'
   | 'revision fell';
 
-type Check = (world: World) => boolean;
+type Check = (system: SystemState) => boolean;
 
-/** Checks in order; each gives whether the state is wrong. */
+/** Checks in the order in which they run; each returns whether the state breaks its invariant. */
 const checks: Record<Violation, Check> = {
-  'ledger grants more than the limit': (world) => checkLedgerInvariant(world.ledger) !== undefined,
-  'limit is above what was paid': (world) =>
-    (world.ledger.accounts[ACCOUNT]?.limit ?? 0) > world.observed.paid,
-  'journal charges more than it was granted': (world) =>
-    journals(world).some((journal) => checkInvariant(journal) !== undefined),
-  'journal believes in more than the ledger granted': (world) =>
-    journals(world).some((one) => totals(one).grantedIn > ledgerShare(world, one).grantedIn),
-  'ledger took back more than the journal gave': (world) =>
-    journals(world).some((one) => totals(one).returnedOut < ledgerShare(world, one).returnedOut),
-  'spent more than was paid': (world) => spentIn(journals(world)) > world.observed.paid,
-  'router spends more than it holds': (world) =>
-    Object.keys(world.holders).some((id) => !hasCover(world, id)),
-  'request billed twice': (world) => hasRepeat(billedKeys(journals(world))),
+  'ledger grants more than the limit': (system) =>
+    checkLedgerInvariant(system.ledger) !== undefined,
+  'limit is above what was paid': (system) =>
+    (system.ledger.accounts[ACCOUNT]?.limit ?? 0) > system.observed.paid,
+  'journal charges more than it was granted': (system) =>
+    journals(system).some((journal) => checkInvariant(journal) !== undefined),
+  'journal believes in more than the ledger granted': (system) =>
+    journals(system).some((one) => totals(one).grantedIn > ledgerShare(system, one).grantedIn),
+  'ledger took back more than the journal gave': (system) =>
+    journals(system).some((one) => totals(one).returnedOut < ledgerShare(system, one).returnedOut),
+  'spent more than was paid': (system) => spentIn(journals(system)) > system.observed.paid,
+  'router spends more than it holds': (system) =>
+    Object.keys(system.holders).some((id) => !holdsEnough(system, id)),
+  'request billed twice': (system) => hasDuplicates(billedKeys(journals(system))),
   'answered request is not billed exactly once': isAnswerUnbilled,
-  'non-idempotent request ran twice': (world) =>
-    world.observed.dispatched.filter((name) => name.endsWith(`/${NON_IDEMPOTENT}`)).length > 1,
-  'ran although said not to have run': (world) =>
-    world.observed.notRun.some((name) => world.observed.dispatched.includes(name)),
-  'revision fell': (world) => world.observed.revisionFell,
+  'non-idempotent request ran twice': (system) =>
+    system.observed.dispatched.filter((name) => name.endsWith(`/${NON_IDEMPOTENT}`)).length > 1,
+  'ran although said not to have run': (system) =>
+    system.observed.notRun.some((name) => system.observed.dispatched.includes(name)),
+  'revision fell': (system) => system.observed.revisionFell,
 };
 
 /**
- * Finds what is wrong with a state.
+ * Returns the first invariant that a state breaks.
  *
  * @example
- * findViolation(world) === undefined; // sound
+ * findViolation(system) === undefined; // all invariants hold
  */
-export function findViolation(world: World): Violation | undefined {
+export function findViolation(system: SystemState): Violation | undefined {
   const names = Object.keys(checks) as Violation[];
-  return names.find((name) => checks[name](world));
+  return names.find((name) => checks[name](system));
 }
 
 /**
- * Journals once every holder has ended: each is sealed, by the reducers of the core, with what its
- * peers keep for it. Lines that were sent only, and arrive never, are lost, as they may be.
+ * Journals after every holder has been sealed by the core's reducers with the lines that its
+ * witnesses store. Lines that were only sent are treated as lost, which the protocol permits.
  */
-export function settledJournals(world: World): JournalState[] {
-  return journals(world).map((journal) => {
+export function settledJournals(system: SystemState): JournalState[] {
+  return journals(system).map((journal) => {
     let settled = journal;
     for (const id of Object.keys(journal.holders)) {
       settled = startSeal(settled, id).unwrapOr(settled);
-      settled = finishSeal(settled, id, linesKeptFor(world, id)).unwrapOr(settled);
+      settled = finishSeal(settled, id, linesStoredFor(system, id)).unwrapOr(settled);
     }
     return settled;
   });
 }
 
-function isAnswerUnbilled(world: World): boolean {
-  if (world.observed.answered.length === 0) return false;
-  const billed = billedKeys(settledJournals(world));
-  return world.observed.answered.some(
+function isAnswerUnbilled(system: SystemState): boolean {
+  if (system.observed.answered.length === 0) return false;
+  const billed = billedKeys(settledJournals(system));
+  return system.observed.answered.some(
     (request) => billed.filter((key) => key === `key-${request}`).length !== 1,
   );
 }
 
-/** Lines at those whom a sealer would ask, and answers that it has already. */
-function linesKeptFor(world: World, holder: IncarnationId): JournalLine[] {
-  const named = world.journals[dataCentreOf(holder)]?.holders[holder]?.witnesses ?? [];
-  return named.flatMap((witness) => [
-    ...(world.holders[witness]?.witness.holders[holder]?.lines ?? []),
-    ...(world.fenced[`${holder}<${witness}`] ?? []),
+/** Lines at the witnesses that a sealer would ask, and lines of answers that it already has. */
+function linesStoredFor(system: SystemState, holder: IncarnationId): JournalLine[] {
+  const witnesses = system.journals[dataCentreOf(holder)]?.holders[holder]?.witnesses ?? [];
+  return witnesses.flatMap((witness) => [
+    ...(system.holders[witness]?.witness.holders[holder]?.lines ?? []),
+    ...(system.fenced[`${holder}<${witness}`] ?? []),
   ]);
 }
 
-/** Whether a router that may write holds what it has set aside and written off. */
-function hasCover(world: World, id: IncarnationId): boolean {
-  if (world.holders[id]?.ended) return true;
-  const spender = spenderOf(world, id);
+/** Whether a router that may still write holds the tokens that it has reserved and billed. */
+function holdsEnough(system: SystemState, id: IncarnationId): boolean {
+  if (system.holders[id]?.ended) return true;
+  const spender = spenderOf(system, id);
   return spender !== undefined && spender.free(ACCOUNT) >= 0;
 }
 
-function journals(world: World): JournalState[] {
-  return Object.values(world.journals);
+function journals(system: SystemState): JournalState[] {
+  return Object.values(system.journals);
 }
 
 function billedKeys(list: JournalState[]): string[] {
   return list.flatMap((journal) => journal.bills.map((bill) => bill.keyDigest ?? ''));
 }
 
-function hasRepeat(keys: string[]): boolean {
+function hasDuplicates(keys: string[]): boolean {
   return new Set(keys).size < keys.length;
 }
 
@@ -117,9 +118,9 @@
 }
 
 function ledgerShare(
-  world: World,
+  system: SystemState,
   journal: JournalState,
 ): { grantedIn: number; returnedOut: number } {
-  const share = world.ledger.accounts[ACCOUNT]?.shares[journal.dataCentre];
+  const share = system.ledger.accounts[ACCOUNT]?.shares[journal.dataCentre];
   return share ?? { grantedIn: 0, returnedOut: 0 };
 }
--- a/packages/lab/src/runtime/walk/index.ts
+++ b/packages/lab/src/runtime/walk/index.ts
@@ -1,4 +1,4 @@
-export * from './createWorld.js';
+export * from './initialState.js';
 export * from './findViolation.js';
 export * from './mutants.js';
 export * from './replayTrace.js';
--- a/packages/lab/src/runtime/walk/createWorld.ts
+++ b/packages/lab/src/runtime/walk/initialState.ts
@@ -1,7 +1,7 @@
-/** First state of the small world, and access to its parts. */
+/** Initial state of the model, and functions that read and replace its parts. */
 
 import type { IncarnationId, JournalState } from '@flamingocourse/core';
-import type { HolderWorld, Run, World, WorldSetup } from './types.js';
+import type { HolderState, Run, SystemState, SystemSetup } from './types.js';
 import {
   Spender,
   applyLines,
@@ -18,27 +18,27 @@
 } from '@flamingocourse/core';
 import { LabError } from '../../utils/labError.js';
 
-/** The one client account. */
+/** The only client account. */
 export const ACCOUNT = 'k';
 
-/** The one declared object whose revisions are merged. */
+/** The only declared object; its revisions are merged. */
 export const DECLARED = { kind: 'Deployment', name: 'd' } as const;
 
-/** A holder without a request. */
+/** A holder that runs no request. */
 export const IDLE: Run = { phase: 'idle', request: 0, amount: 0, lineAt: 0 };
 
-/** Data centre of a holder, from its name. */
+/** Data centre of a holder: the first letter of its id. */
 export function dataCentreOf(holder: IncarnationId): string {
   return holder.slice(0, 1);
 }
 
 /**
- * Creates the first state.
+ * Creates the initial state.
  *
  * @example
- * createWorld({ holders: [{ id: 'a1', witnesses: [] }], openingTokens: 4, ...rest });
+ * createInitialState({ holders: [{ id: 'a1', witnesses: [] }], openingTokens: 4, ...rest });
  */
-export function createWorld(setup: WorldSetup): World {
+export function createInitialState(setup: SystemSetup): SystemState {
   const names = [...new Set(setup.holders.map((holder) => dataCentreOf(holder.id)))];
   let ledger = openAccount(createLedgerPage(0), ACCOUNT, setup.openingTokens, 0);
   const journals: Record<string, JournalState> = {};
@@ -66,43 +66,48 @@
   };
 }
 
-/** A holder of the world. */
-export function holderIn(world: World, id: IncarnationId): HolderWorld {
-  const holder = world.holders[id];
-  if (!holder) throw new LabError('bad-world', `name a holder of the world, not "${id}".`);
+/** State of a holder. Throws `bad-world` for an unknown id. */
+export function holderIn(system: SystemState, id: IncarnationId): HolderState {
+  const holder = system.holders[id];
+  if (!holder) throw new LabError('bad-world', `unknown holder "${id}".`);
   return holder;
 }
 
-/** Journal of a data centre. */
-export function journalIn(world: World, dataCentre: string): JournalState {
-  const journal = world.journals[dataCentre];
-  if (!journal) throw new LabError('bad-world', `name a data centre, not "${dataCentre}".`);
+/** Journal of a data centre. Throws `bad-world` for an unknown name. */
+export function journalIn(system: SystemState, dataCentre: string): JournalState {
+  const journal = system.journals[dataCentre];
+  if (!journal) throw new LabError('bad-world', `unknown data centre "${dataCentre}".`);
   return journal;
 }
 
 /** Journal that a holder writes to. */
-export function journalOf(world: World, holder: IncarnationId): JournalState {
-  return journalIn(world, dataCentreOf(holder));
+export function journalOf(system: SystemState, holder: IncarnationId): JournalState {
+  return journalIn(system, dataCentreOf(holder));
 }
 
-/** Replaces parts of a holder. */
-export function withHolder(world: World, id: IncarnationId, part: Partial<HolderWorld>): World {
-  const next = { ...holderIn(world, id), ...part };
-  return { ...world, holders: { ...world.holders, [id]: next } };
+/** Replaces parts of a holder's state. */
+export function withHolder(
+  system: SystemState,
+  id: IncarnationId,
+  part: Partial<HolderState>,
+): SystemState {
+  const next = { ...holderIn(system, id), ...part };
+  return { ...system, holders: { ...system.holders, [id]: next } };
 }
 
-/** Replaces a journal; the same journal leaves the world as it is. */
-export function withJournal(world: World, journal: JournalState): World {
-  if (world.journals[journal.dataCentre] === journal) return world;
-  return { ...world, journals: { ...world.journals, [journal.dataCentre]: journal } };
+/** Replaces a journal. Returns the same state when the journal is unchanged. */
+export function withJournal(system: SystemState, journal: JournalState): SystemState {
+  if (system.journals[journal.dataCentre] === journal) return system;
+  return { ...system, journals: { ...system.journals, [journal.dataCentre]: journal } };
 }
 
 /**
- * The real spender in the state that a holder has reached: it has written all lines, has read the
- * view, and has set aside what its request needs. `undefined` when it has less than that.
+ * The production `Spender` in the state that a holder has reached: it has written all lines, has
+ * read the view, and has reserved the tokens of its request. `undefined` when it holds fewer tokens
+ * than the request needs.
  */
-export function spenderOf(world: World, id: IncarnationId): Spender | undefined {
-  const { history, view, run } = holderIn(world, id);
+export function spenderOf(system: SystemState, id: IncarnationId): Spender | undefined {
+  const { history, view, run } = holderIn(system, id);
   const spender = new Spender(id);
   for (const line of history) spender.append(line.change);
   spender.sync(view);
@@ -110,13 +115,13 @@
   return reserveFor(spender, run.amount) ? spender : undefined;
 }
 
-/** Sets tokens aside; gives whether there were enough. */
+/** Reserves tokens; returns whether there were enough. */
 export function reserveFor(spender: Spender, amount: number): boolean {
   const request = { account: ACCOUNT, workClass: 'w', amount, budgetShare: 1, floor: 0 };
   return spender.reserve(request).isOk;
 }
 
-function createFirstJournal(name: string, setup: WorldSetup): JournalState {
+function createFirstJournal(name: string, setup: SystemSetup): JournalState {
   let journal = recordGrant(createJournal(name), ACCOUNT, setup.grantedAtStart);
   for (const { id, witnesses } of setup.holders) {
     if (dataCentreOf(id) !== name) continue;
@@ -131,16 +136,20 @@
 function createHolder(
   id: IncarnationId,
   journals: Record<string, JournalState>,
-  setup: WorldSetup,
-): HolderWorld {
+  setup: SystemSetup,
+): HolderState {
   const view = journals[dataCentreOf(id)];
-  if (!view) throw new LabError('bad-world', `name a holder after its data centre, not "${id}".`);
+  if (!view)
+    throw new LabError(
+      'bad-world',
+      `no data centre for holder "${id}": its id must start with the data centre's name.`,
+    );
   const change = { type: 'take', account: ACCOUNT, amount: setup.sliceAtStart } as const;
   return {
     history: setup.sliceAtStart === 0 ? [] : [{ holder: id, seq: 1, change }],
     sent: [],
     view,
-    keptSeq: 0,
+    storedSeq: 0,
     witness: createWitness(),
     run: IDLE,
     ended: false,
--- a/packages/lab/src/runtime/walk/mutantEdits.ts
+++ b/packages/lab/src/runtime/walk/mutantEdits.ts
@@ -1,10 +1,10 @@
-/** Edits of a journal that no rule allows, for mutants. */
+/** Changes to a journal that no reducer makes, for the mutants. */
 
 import type { IncarnationId, JournalHolder, JournalState, Tokens } from '@flamingocourse/core';
-import { ACCOUNT } from './createWorld.js';
+import { ACCOUNT } from './initialState.js';
 
-/** Replaces parts of a holder's entry. */
-export function draftOfHolder(
+/** Replaces parts of a holder's entry in the journal. */
+export function withHolderEntry(
   state: JournalState,
   id: IncarnationId,
   part: Partial<JournalHolder>,
@@ -14,9 +14,9 @@
   return { ...state, holders: { ...state.holders, [id]: { ...entry, ...part } } };
 }
 
-/** Adds to a holder's slice whatever the pool has. */
+/** Adds tokens to a holder's slice even if the pool has fewer. */
 export function addToSlice(state: JournalState, id: IncarnationId, amount: Tokens): JournalState {
   const slices = state.holders[id]?.slices ?? {};
-  const raised = { ...slices, [ACCOUNT]: (slices[ACCOUNT] ?? 0) + amount };
-  return amount === 0 ? state : draftOfHolder(state, id, { slices: raised });
+  const slicesAfter = { ...slices, [ACCOUNT]: (slices[ACCOUNT] ?? 0) + amount };
+  return amount === 0 ? state : withHolderEntry(state, id, { slices: slicesAfter });
 }
--- a/packages/lab/src/runtime/walk/mutants.ts
+++ b/packages/lab/src/runtime/walk/mutants.ts
@@ -1,8 +1,11 @@
-/** Broken versions of the rules, one per rule; the walk has to catch each. */
+/**
+ * Mutants of the protocol rules, each with one fault. The exhaustive walk must detect every one of
+ * them.
+ */
 
 import type { JournalHolder, JournalLine, JournalState } from '@flamingocourse/core';
 import type { ProtocolRules } from './rules.js';
-import { addToSlice, draftOfHolder } from './mutantEdits.js';
+import { addToSlice, withHolderEntry } from './mutantEdits.js';
 import { coreRules } from './rules.js';
 import {
   applyLines,
@@ -15,12 +18,12 @@
   pool,
   startSeal,
 } from '@flamingocourse/core';
-import { ACCOUNT } from './createWorld.js';
+import { ACCOUNT } from './initialState.js';
 
-/** A rule that is broken. */
+/** A set of rules with one fault. */
 export interface Mutant {
   readonly name: string;
-  /** Scope that is walked first, because it has the steps that the rule guards. */
+  /** Scope that is walked first: it contains the steps that the rule restricts. */
   readonly scope: string;
   readonly rules: ProtocolRules;
 }
@@ -30,17 +33,17 @@
 /** All mutants. */
 export const mutantList: readonly Mutant[] = [
   mutant('slice taken back by time', 'spend', {
-    startSeal: (state, holder) => applyFreed(state, holder),
+    startSeal: (state, holder) => freeSliceOnly(state, holder),
   }),
   mutant('settle repeated after a lost reply', 'seal', {
     applyLines: (state, lines) => applyLines(state, renumbered(state, lines)),
   }),
-  mutant('second bill of a ticket counts', 'seal', { applyLines: applyBillsAgain }),
+  mutant('second bill of a ticket counts', 'seal', { applyLines: repeatBills }),
   mutant('line applied out of sequence', 'seal', {
     applyLines: (state, lines) => applyLines(skipGap(state, lines), lines),
   }),
   mutant('journal takes lines of a sealed holder', 'idempotent key', {
-    applyLines: applyThoughSealed,
+    applyLines: applyToSealedHolder,
   }),
   mutant('take beyond the pool', 'budget', { applyLines: takeBeyondPool }),
   mutant('claim after dispatch', 'non-idempotent key', { claimsFirst: () => false }),
@@ -85,11 +88,13 @@
     fence: (state, holder) => ({ state, lines: state.holders[holder]?.lines ?? [] }),
   }),
   mutant('witness accepts after the fence', 'witnesses', {
-    keepLines: (state, lines, journal) => {
+    storeLines: (state, lines, journal) => {
       const holder = lines[0]?.holder ?? '';
-      const kept = state.holders[holder]?.lines ?? [];
-      const open = { holders: { ...state.holders, [holder]: { fenced: false, lines: kept } } };
-      return storeLines(open, lines, journal);
+      const stored = state.holders[holder]?.lines ?? [];
+      const unfenced = {
+        holders: { ...state.holders, [holder]: { fenced: false, lines: stored } },
+      };
+      return storeLines(unfenced, lines, journal);
     },
   }),
   mutant('witness forgets lines when fenced', 'witnesses', {
@@ -99,9 +104,9 @@
     grant: (page, account, dataCentre, amount) => {
       const entry = page.accounts[account];
       if (!entry) return page;
-      const loose = { ...entry, limit: entry.limit + UNLIMITED };
+      const unlimited = { ...entry, limit: entry.limit + UNLIMITED };
       const granted = grant(
-        { ...page, accounts: { ...page.accounts, [account]: loose } },
+        { ...page, accounts: { ...page.accounts, [account]: unlimited } },
         account,
         dataCentre,
         amount,
@@ -115,8 +120,8 @@
   }),
   mutant('top-up counted twice', 'budget', {
     changeBudget: (page, account, change) => {
-      const times = page.accounts[account]?.changes.length ?? 0;
-      return changeBudget(page, account, { ...change, id: `${change.id}-${times}` });
+      const count = page.accounts[account]?.changes.length ?? 0;
+      return changeBudget(page, account, { ...change, id: `${change.id}-${count}` });
     },
   }),
   mutant('grant copied by overwrite', 'budget', {
@@ -149,31 +154,34 @@
   return { name, scope, rules: { ...coreRules, ...broken } };
 }
 
-/** Frees the slice and lets the holder go on. */
-function applyFreed(state: JournalState, holder: string): ReturnType<ProtocolRules['startSeal']> {
+/** Frees the holder's slice but leaves the holder open. */
+function freeSliceOnly(
+  state: JournalState,
+  holder: string,
+): ReturnType<ProtocolRules['startSeal']> {
   return startSeal(state, holder).map((next) =>
-    draftOfHolder(next, holder, { state: 'open', slices: {} }),
+    withHolderEntry(next, holder, { state: 'open', slices: {} }),
   );
 }
 
-/** Gives lines that are in already the next places, as if each delivery were new. */
+/** Gives applied lines the next sequence numbers, as if each delivery were new. */
 function renumbered(state: JournalState, lines: readonly JournalLine[]): JournalLine[] {
   const seq = state.holders[lines[0]?.holder ?? '']?.seq ?? 0;
   return lines.map((line, index) => ({ ...line, seq: seq + index + 1 }));
 }
 
-/** Charges each delivered bill once more when the ticket is billed already. */
-function applyBillsAgain(
+/** Adds each delivered bill once more if the ticket is already billed. */
+function repeatBills(
   state: JournalState,
   lines: readonly JournalLine[],
 ): ReturnType<ProtocolRules['applyLines']> {
   return applyLines(state, lines).map((next) => {
-    const again = lines.flatMap(({ holder, change }) => {
+    const repeated = lines.flatMap(({ holder, change }) => {
       if (change.type !== 'bill') return [];
       const done = state.holders[holder]?.done ?? [];
       return hasInterval(done, change.bill.ticket) ? [change.bill] : [];
     });
-    return again.length === 0 ? next : { ...next, bills: [...next.bills, ...again] };
+    return repeated.length === 0 ? next : { ...next, bills: [...next.bills, ...repeated] };
   });
 }
 
@@ -181,17 +189,17 @@
   const first = lines[0];
   const entry = state.holders[first?.holder ?? ''];
   if (!first || !entry || first.seq <= entry.seq) return state;
-  return draftOfHolder(state, first.holder, { seq: first.seq - 1 });
+  return withHolderEntry(state, first.holder, { seq: first.seq - 1 });
 }
 
-function applyThoughSealed(
+function applyToSealedHolder(
   state: JournalState,
   lines: readonly JournalLine[],
 ): ReturnType<ProtocolRules['applyLines']> {
   const id = lines[0]?.holder ?? '';
   const before: JournalHolder['state'] = state.holders[id]?.state ?? 'open';
-  return applyLines(draftOfHolder(state, id, { state: 'open' }), lines).map((next) =>
-    draftOfHolder(next, id, { state: before }),
+  return applyLines(withHolderEntry(state, id, { state: 'open' }), lines).map((next) =>
+    withHolderEntry(next, id, { state: before }),
   );
 }
 
@@ -203,8 +211,8 @@
     let changed = next;
     for (const { holder, seq, change } of lines) {
       if (change.type !== 'take' || seq <= (state.holders[holder]?.seq ?? 0)) continue;
-      const lacking = change.amount - Math.min(change.amount, pool(state, ACCOUNT));
-      changed = addToSlice(changed, holder, lacking);
+      const shortfall = change.amount - Math.min(change.amount, pool(state, ACCOUNT));
+      changed = addToSlice(changed, holder, shortfall);
     }
     return changed;
   });
--- a/packages/lab/src/runtime/walk/projection.ts
+++ b/packages/lab/src/runtime/walk/projection.ts
@@ -1,10 +1,13 @@
-/** What the specification and the small world have in common, as text by name. */
+/**
+ * Projections of a state of the specification and of a state of the model onto the parts that both
+ * have, as JSON text by name. Equal states have equal projections.
+ */
 
 import type { JournalState } from '@flamingocourse/core';
-import type { World } from './types.js';
+import type { SystemState } from './types.js';
 import { hasInterval, shareOf } from '@flamingocourse/core';
 import { z } from 'zod';
-import { ACCOUNT, holderIn, journalOf } from './createWorld.js';
+import { ACCOUNT, holderIn, journalOf } from './initialState.js';
 import { revisionOf } from './storeSteps.js';
 
 const HOLDERS = ['a1', 'a2', 'b1'];
@@ -40,7 +43,7 @@
   }),
   lines: z.record(z.string(), z.array(lineSchema)),
   seenSeq: counts,
-  kept: counts,
+  stored: counts,
   runs: z.record(z.string(), runSchema),
   claims: z.record(z.string(), z.string()),
   answered: z.array(z.number()),
@@ -49,7 +52,7 @@
   revisions: counts,
 });
 
-/** Projects a decoded state of the specification. */
+/** Projects a decoded state of the specification. Throws if its schema differs. */
 export function projectModel(state: Record<string, unknown>): Record<string, string> {
   const model = modelSchema.parse(state);
   const { journal } = model;
@@ -71,45 +74,45 @@
     const run = model.runs[id];
     parts[`entry of ${id}`] = [journal.states[id], journal.seqs[id], journal.slices[id]];
     parts[`tickets of ${id}`] = [journal.intents[id], journal.done[id]];
-    parts[`knowledge of ${id}`] = [model.seenSeq[id], model.kept[id], model.revisions[id]];
+    parts[`knowledge of ${id}`] = [model.seenSeq[id], model.stored[id], model.revisions[id]];
     parts[`lines of ${id}`] = model.lines[id]?.map(({ kind }) => kind);
     parts[`request of ${id}`] = [run?.phase, run?.req, run?.amount, run?.lineAt];
   }
-  return asTexts(parts);
+  return toJsonTexts(parts);
 }
 
-/** Projects the small world. */
-export function projectWorld(world: World): Record<string, string> {
-  const { observed, claims } = world;
+/** Projects a state of the model. */
+export function projectSystem(system: SystemState): Record<string, string> {
+  const { observed, claims } = system;
   const parts: Record<string, unknown> = {
-    budget: [world.ledger.accounts[ACCOUNT]?.limit, observed.paid],
+    budget: [system.ledger.accounts[ACCOUNT]?.limit, observed.paid],
     answered: observed.answered,
     notRun: observed.notRun,
     dispatched: observed.dispatched,
     claims: REQUESTS.map((request) => claims.claims[`key-${request}`]?.ticket.issuer ?? ''),
-    bills: Object.values(world.journals).flatMap(billNames).sort(),
+    bills: Object.values(system.journals).flatMap(billNames).sort(),
   };
   for (const name of DATA_CENTRES) {
-    const entry = world.ledger.accounts[ACCOUNT];
+    const entry = system.ledger.accounts[ACCOUNT];
     const share = entry && shareOf(entry, name);
-    const totals = world.journals[name]?.accounts[ACCOUNT];
+    const totals = system.journals[name]?.accounts[ACCOUNT];
     parts[`ledger of ${name}`] = [share?.grantedIn, share?.returnedOut];
     parts[`journal of ${name}`] = [totals?.grantedIn, totals?.returnedOut, totals?.spent].map(
       (one) => one ?? 0,
     );
   }
-  for (const id of HOLDERS) Object.assign(parts, projectHolder(world, id));
-  return asTexts(parts);
+  for (const id of HOLDERS) Object.assign(parts, projectHolder(system, id));
+  return toJsonTexts(parts);
 }
 
-function projectHolder(world: World, id: string): Record<string, unknown> {
-  const entry = journalOf(world, id).holders[id];
-  const { history, view, keptSeq, run, config } = holderIn(world, id);
+function projectHolder(system: SystemState, id: string): Record<string, unknown> {
+  const entry = journalOf(system, id).holders[id];
+  const { history, view, storedSeq, run, config } = holderIn(system, id);
   const done = REQUESTS.filter((request) => hasInterval(entry?.done ?? [], request));
   return {
     [`entry of ${id}`]: [entry?.state, entry?.seq, entry?.slices[ACCOUNT] ?? 0],
     [`tickets of ${id}`]: [entry?.openIntents, done],
-    [`knowledge of ${id}`]: [view.holders[id]?.seq, keptSeq, revisionOf(config)],
+    [`knowledge of ${id}`]: [view.holders[id]?.seq, storedSeq, revisionOf(config)],
     [`lines of ${id}`]: history.map(({ change }) =>
       change.type === 'not-run' ? 'notRun' : change.type,
     ),
@@ -121,7 +124,7 @@
   return bills.map(({ holder, ticket, cost }) => `${holder}/${ticket}:${cost}`);
 }
 
-function asTexts(parts: Record<string, unknown>): Record<string, string> {
+function toJsonTexts(parts: Record<string, unknown>): Record<string, string> {
   return Object.fromEntries(
     Object.entries(parts).map(([name, value]) => [name, JSON.stringify(value)]),
   );
--- a/packages/lab/src/runtime/walk/replayTrace.ts
+++ b/packages/lab/src/runtime/walk/replayTrace.ts
@@ -1,21 +1,21 @@
 /**
- * Replays traces of the specification against the real reducers: each action is taken in the small
- * world too, and both states are compared after it.
+ * Replays traces of the specification against the production reducers: each action is also taken in
+ * the model, and the two states are compared after it.
  */
 
-import type { Step, StepType, World, WorldSetup } from './types.js';
+import type { Step, StepType, SystemState, SystemSetup } from './types.js';
 import type { ProtocolRules } from './rules.js';
 import { Result } from 'true-myth';
 import { z } from 'zod';
 import { LabError } from '../../utils/labError.js';
-import { createWorld } from './createWorld.js';
+import { createInitialState } from './initialState.js';
 import { decodeItf } from './decodeItf.js';
-import { projectModel, projectWorld } from './projection.js';
+import { projectModel, projectSystem } from './projection.js';
 import { coreRules } from './rules.js';
 import { takeStep } from './walk.js';
 
-/** The world of the specification. */
-export const SPEC_SETUP: WorldSetup = {
+/** Setup that equals the initial state of the specification. */
+export const SPEC_SETUP: SystemSetup = {
   holders: [
     { id: 'a1', witnesses: ['a2'] },
     { id: 'a2', witnesses: ['a1'] },
@@ -39,11 +39,11 @@
   revision: pick(z.number()),
 });
 
-/** Steps that the specification may take with no effect. */
+/** Steps that the specification may take without any effect. */
 const MAY_DO_NOTHING: readonly StepType[] = ['readJournal', 'deliver', 'grant', 'merge'];
 
 /**
- * Replays one trace; gives the number of steps, or what differs first.
+ * Replays one trace. Returns the number of steps, or `trace-differs` with the first difference.
  *
  * @example
  * replayTrace(JSON.parse(await readFile('trace.itf.json', 'utf8')));
@@ -53,17 +53,17 @@
   rules: ProtocolRules = coreRules,
 ): Result<number, LabError> {
   const states = traceSchema.parse(trace).states.map(decodeItf);
-  let world = createWorld(SPEC_SETUP);
+  let system = createInitialState(SPEC_SETUP);
   for (const [index, state] of states.entries()) {
     if (index > 0) {
       const step = stepOf(state);
-      const next = takeStep(world, step, rules, SPEC_SETUP.maxLines);
+      const next = takeStep(system, step, rules, SPEC_SETUP.maxLines);
       if (!next && !MAY_DO_NOTHING.includes(step.type))
-        return fault(index, step, 'is not possible');
-      world = next ?? world;
+        return differenceAt(index, step, 'is not possible');
+      system = next ?? system;
     }
-    const difference = findDifference(world, state);
-    if (difference) return fault(index, index > 0 ? stepOf(state) : undefined, difference);
+    const difference = findDifference(system, state);
+    if (difference) return differenceAt(index, index > 0 ? stepOf(state) : undefined, difference);
   }
   return Result.ok(states.length - 1);
 }
@@ -82,7 +82,7 @@
   };
 }
 
-/** Some actions of the specification have a fixed amount, or another meaning of it. */
+/** Amount of a step; some actions have a fixed one, and that of `merge` is the revision. */
 function amountOf(type: StepType, picked: number, revision: number): number {
   if (type === 'merge') return revision;
   if (type === 'copyGrant') return 0;
@@ -90,15 +90,19 @@
   return picked;
 }
 
-function findDifference(world: World, state: Record<string, unknown>): string | undefined {
-  const real = projectWorld(world);
-  const model = projectModel(state);
-  const name = Object.keys(real).find((key) => real[key] !== model[key]);
+function findDifference(system: SystemState, state: Record<string, unknown>): string | undefined {
+  const actual = projectSystem(system);
+  const expected = projectModel(state);
+  const name = Object.keys(actual).find((key) => actual[key] !== expected[key]);
   if (name === undefined) return undefined;
-  return `leaves ${name} as ${real[name] ?? ''}, the specification as ${model[name] ?? ''}`;
+  return `leaves ${name} as ${actual[name] ?? ''}, the specification as ${expected[name] ?? ''}`;
 }
 
-function fault(index: number, step: Step | undefined, what: string): Result<number, LabError> {
+function differenceAt(
+  index: number,
+  step: Step | undefined,
+  what: string,
+): Result<number, LabError> {
   const name = step ? `${step.type}(${step.holder}, ${step.dataCentre}, ${step.amount})` : 'init';
   return Result.err(new LabError('trace-differs', `step ${index}, ${name}, ${what}.`));
 }
--- a/packages/lab/src/runtime/walk/requestSteps.ts
+++ b/packages/lab/src/runtime/walk/requestSteps.ts
@@ -1,7 +1,7 @@
-/** Steps of a request: key, reservation, intent, dispatch, bill and final event. */
+/** Steps of a request: claim of its key, reservation, intent, dispatch, bill and final event. */
 
 import type { Bill, IncarnationId } from '@flamingocourse/core';
-import type { Observed, Run, StepType, World } from './types.js';
+import type { Observed, Run, StepType, SystemState } from './types.js';
 import type { StepFunction } from './storeSteps.js';
 import {
   ACCOUNT,
@@ -11,119 +11,121 @@
   reserveFor,
   spenderOf,
   withHolder,
-} from './createWorld.js';
+} from './initialState.js';
 import { NON_IDEMPOTENT } from './rules.js';
 import { writeLine } from './storeSteps.js';
 
-/** Tokens set aside for a request. */
+/** Tokens reserved for a request. */
 const WORST_CASE = 2;
 
-/** Steps by type. */
+/** Step functions by type. */
 export const requestSteps: Partial<Record<StepType, StepFunction>> = {
-  start: (world, { holder, request }, rules) => {
-    const { run, ended } = holderIn(world, holder);
+  start: (system, { holder, request }, rules) => {
+    const { run, ended } = holderIn(system, holder);
     const ticket = ticketName(holder, request);
     if (ended || run.phase !== 'idle') return undefined;
-    if (world.observed.started.includes(ticket)) return undefined;
+    if (system.observed.started.includes(ticket)) return undefined;
     const phase = rules.claimsFirst(request) ? 'claiming' : 'claimed';
-    const next = withRun(world, holder, { ...IDLE, phase, request });
-    return observe(next, { started: insert(world.observed.started, ticket) });
+    const next = withRun(system, holder, { ...IDLE, phase, request });
+    return observe(next, { started: insert(system.observed.started, ticket) });
   },
-  claim: (world, { holder }, rules) => {
-    const { run } = holderIn(world, holder);
-    const isEarly = run.phase === 'claiming';
-    const isLate = run.phase === 'running' && !rules.claimsFirst(run.request);
-    if (!isEarly && !isLate) return undefined;
+  claim: (system, { holder }, rules) => {
+    const { run } = holderIn(system, holder);
+    const isBeforeDispatch = run.phase === 'claiming';
+    const isBeforeBill = run.phase === 'running' && !rules.claimsFirst(run.request);
+    if (!isBeforeDispatch && !isBeforeBill) return undefined;
     const wanted = { ticket: ticketOf(holder, run), bodyDigest: 'b', at: 0 };
-    const { page, answer } = rules.claim(world.claims, keyOf(run), wanted);
-    const next = { ...world, claims: page };
+    const { page, answer } = rules.claim(system.claims, keyOf(run), wanted);
+    const next = { ...system, claims: page };
     if (answer.type !== 'own') return withRun(next, holder, IDLE);
-    return withRun(next, holder, { ...run, phase: isEarly ? 'claimed' : 'ownBill' });
+    return withRun(next, holder, { ...run, phase: isBeforeDispatch ? 'claimed' : 'ownBill' });
   },
-  takeOver: (world, { holder }, rules) => {
-    const { run } = holderIn(world, holder);
-    const isEarly = run.phase === 'claiming';
-    const isLate = run.phase === 'running' && !rules.claimsFirst(run.request);
-    const from = world.claims.claims[keyOf(run)]?.ticket;
-    if ((!isEarly && !isLate) || !from || from.issuer === holder) return undefined;
-    if (!rules.isProvablyNotRun(journalOf(world, from.issuer), from)) return undefined;
-    const taken = rules.takeOver(world.claims, keyOf(run), from, ticketOf(holder, run), 0);
+  takeOver: (system, { holder }, rules) => {
+    const { run } = holderIn(system, holder);
+    const isBeforeDispatch = run.phase === 'claiming';
+    const isBeforeBill = run.phase === 'running' && !rules.claimsFirst(run.request);
+    const from = system.claims.claims[keyOf(run)]?.ticket;
+    if ((!isBeforeDispatch && !isBeforeBill) || !from || from.issuer === holder) return undefined;
+    if (!rules.isProvablyNotRun(journalOf(system, from.issuer), from)) return undefined;
+    const taken = rules.takeOver(system.claims, keyOf(run), from, ticketOf(holder, run), 0);
     if (taken.answer.type !== 'own') return undefined;
-    const phase = isEarly ? 'claimed' : 'ownBill';
-    const next = withRun({ ...world, claims: taken.page }, holder, { ...run, phase });
+    const phase = isBeforeDispatch ? 'claimed' : 'ownBill';
+    const next = withRun({ ...system, claims: taken.page }, holder, { ...run, phase });
     if (run.request !== NON_IDEMPOTENT) return next;
-    const told = insert(world.observed.notRun, ticketName(from.issuer, from.number));
-    return observe(next, { notRun: told });
+    const notRun = insert(system.observed.notRun, ticketName(from.issuer, from.number));
+    return observe(next, { notRun });
   },
-  reserve: (world, { holder }) => {
-    const { run, ended } = holderIn(world, holder);
-    const spender = spenderOf(world, holder);
+  reserve: (system, { holder }) => {
+    const { run, ended } = holderIn(system, holder);
+    const spender = spenderOf(system, holder);
     if (ended || run.phase !== 'claimed' || !spender) return undefined;
     if (!reserveFor(spender, WORST_CASE)) return undefined;
-    return withRun(world, holder, { ...run, phase: 'reserved', amount: WORST_CASE });
+    return withRun(system, holder, { ...run, phase: 'reserved', amount: WORST_CASE });
   },
-  intent: (world, { holder }, _rules, maxLines) => {
-    const { run } = holderIn(world, holder);
+  intent: (system, { holder }, _rules, maxLines) => {
+    const { run } = holderIn(system, holder);
     if (run.phase !== 'reserved' || run.request !== NON_IDEMPOTENT) return undefined;
-    const next = writeLine(world, holder, { type: 'intent', ticket: run.request }, maxLines);
-    return next && withRun(next, holder, waitFor(next, holder, { ...run, phase: 'intended' }));
+    const next = writeLine(system, holder, { type: 'intent', ticket: run.request }, maxLines);
+    return (
+      next && withRun(next, holder, waitForLastLine(next, holder, { ...run, phase: 'intended' }))
+    );
   },
-  dispatch: (world, { holder }, rules) => {
-    const { run } = holderIn(world, holder);
-    if (!rules.mayDispatch(run, keptSeq(world, holder))) return undefined;
-    const next = withRun(world, holder, { ...run, phase: 'running' });
+  dispatch: (system, { holder }, rules) => {
+    const { run } = holderIn(system, holder);
+    if (!rules.mayDispatch(run, durableSeq(system, holder))) return undefined;
+    const next = withRun(system, holder, { ...run, phase: 'running' });
     const ticket = ticketName(holder, run.request);
-    return observe(next, { dispatched: insert(world.observed.dispatched, ticket) });
+    return observe(next, { dispatched: insert(system.observed.dispatched, ticket) });
   },
-  giveUp: (world, { holder }, _rules, maxLines) => {
-    const { run } = holderIn(world, holder);
+  giveUp: (system, { holder }, _rules, maxLines) => {
+    const { run } = holderIn(system, holder);
     if (run.phase !== 'intended') return undefined;
-    const next = writeLine(world, holder, { type: 'not-run', ticket: run.request }, maxLines);
+    const next = writeLine(system, holder, { type: 'not-run', ticket: run.request }, maxLines);
     if (!next) return undefined;
-    const notRun = insert(world.observed.notRun, ticketName(holder, run.request));
+    const notRun = insert(system.observed.notRun, ticketName(holder, run.request));
     return observe(withRun(next, holder, IDLE), { notRun });
   },
-  bill: (world, { holder, amount }, rules, maxLines) => {
-    const { run } = holderIn(world, holder);
+  bill: (system, { holder, amount }, rules, maxLines) => {
+    const { run } = holderIn(system, holder);
     const isOwner = rules.claimsFirst(run.request) || !rules.billNeedsClaim();
     if (run.phase !== 'ownBill' && !(run.phase === 'running' && isOwner)) return undefined;
     const cost = rules.billCost(amount, run.amount);
     const change = { type: 'bill', bill: billOf(holder, run, cost) } as const;
-    const next = writeLine(world, holder, change, maxLines);
+    const next = writeLine(system, holder, change, maxLines);
     const billed: Run = { ...run, phase: 'billed', amount: 0 };
-    return next && withRun(next, holder, waitFor(next, holder, billed));
+    return next && withRun(next, holder, waitForLastLine(next, holder, billed));
   },
-  finalEvent: (world, { holder }, rules) => {
-    const { run } = holderIn(world, holder);
-    if (!rules.mayAnswer(run, keptSeq(world, holder))) return undefined;
-    const next = withRun(world, holder, IDLE);
-    return observe(next, { answered: insert(world.observed.answered, run.request) });
+  finalEvent: (system, { holder }, rules) => {
+    const { run } = holderIn(system, holder);
+    if (!rules.mayAnswer(run, durableSeq(system, holder))) return undefined;
+    const next = withRun(system, holder, IDLE);
+    return observe(next, { answered: insert(system.observed.answered, run.request) });
   },
 };
 
-/** Name of a ticket: its issuer and the request. */
+/** Name of a ticket: `issuer/request`. */
 export function ticketName(holder: IncarnationId, request: number): string {
   return `${holder}/${request}`;
 }
 
-function keptSeq(world: World, holder: IncarnationId): number {
-  const { view, keptSeq: witnessed } = holderIn(world, holder);
-  return Math.max(witnessed, view.holders[holder]?.seq ?? 0);
+function durableSeq(system: SystemState, holder: IncarnationId): number {
+  const { view, storedSeq } = holderIn(system, holder);
+  return Math.max(storedSeq, view.holders[holder]?.seq ?? 0);
 }
 
-function waitFor(world: World, holder: IncarnationId, run: Run): Run {
-  return { ...run, lineAt: holderIn(world, holder).history.length };
+function waitForLastLine(system: SystemState, holder: IncarnationId, run: Run): Run {
+  return { ...run, lineAt: holderIn(system, holder).history.length };
 }
 
-function withRun(world: World, holder: IncarnationId, run: Run): World {
-  return withHolder(world, holder, { run });
+function withRun(system: SystemState, holder: IncarnationId, run: Run): SystemState {
+  return withHolder(system, holder, { run });
 }
 
-function observe(world: World, part: Partial<Observed>): World {
-  return { ...world, observed: { ...world.observed, ...part } };
+function observe(system: SystemState, part: Partial<Observed>): SystemState {
+  return { ...system, observed: { ...system.observed, ...part } };
 }
 
-/** Sorted, so that the order of steps that do not touch each other makes no other state. */
+/** Inserts in sorted order, so that independent steps lead to the same state in either order. */
 function insert<T>(list: readonly T[], item: T): T[] {
   return list.includes(item) ? [...list] : [...list, item].sort();
 }
--- a/packages/lab/src/runtime/walk/rules.ts
+++ b/packages/lab/src/runtime/walk/rules.ts
@@ -1,6 +1,6 @@
 /**
- * Rules of the protocol as one replaceable table: the reducers of the core, and the conditions that
- * the services keep around them. A mutant replaces one entry.
+ * Rules of the protocol as one table: the reducers of the core, and the conditions that the services
+ * check before they call them. A mutant replaces one entry.
  */
 
 import type { IncarnationId, JournalState, Spender, TicketId, Tokens } from '@flamingocourse/core';
@@ -22,10 +22,10 @@
   takeOver,
 } from '@flamingocourse/core';
 
-/** Number of the one non-idempotent request. */
+/** Number of the only non-idempotent request. */
 export const NON_IDEMPOTENT = 1;
 
-/** The table. */
+/** The rules without any fault. */
 export const coreRules = {
   grant,
   changeBudget,
@@ -35,31 +35,31 @@
   applyLines,
   startSeal,
   finishSeal,
-  keepLines: storeLines,
+  storeLines,
   fence,
   claim,
   takeOver,
   mergeUpdate,
-  /** Witnesses whose word a holder takes that they keep its lines. */
+  /** Witnesses whose confirmation that they store its lines a holder accepts. */
   trustedWitnesses: (spender: Spender): readonly IncarnationId[] => spender.witnesses,
-  /** Witnesses whose answers a sealer needs. */
+  /** Witnesses that must answer before a sealer may finish. */
   witnessesToAsk: (journal: JournalState, holder: IncarnationId): readonly IncarnationId[] =>
     journal.holders[holder]?.witnesses ?? [],
-  /** Whether a key is claimed before anything is sent. */
+  /** Whether a key is claimed before the request is dispatched. */
   claimsFirst: (request: number): boolean => request === NON_IDEMPOTENT,
-  /** Whether the bill needs the claim, where it was not made before. */
+  /** Whether a bill requires the claim if the key was not claimed before dispatch. */
   billNeedsClaim: (): boolean => true,
   /** Whether a request may be sent to a backend server. */
-  mayDispatch: (run: Run, keptSeq: number): boolean =>
+  mayDispatch: (run: Run, durableSeq: number): boolean =>
     run.request === NON_IDEMPOTENT
-      ? run.phase === 'intended' && keptSeq >= run.lineAt
+      ? run.phase === 'intended' && durableSeq >= run.lineAt
       : run.phase === 'reserved',
-  /** Whether the caller may see the final event. */
-  mayAnswer: (run: Run, keptSeq: number): boolean =>
-    run.phase === 'billed' && keptSeq >= run.lineAt,
-  /** What a bill may say. */
+  /** Whether the final event may be sent to the caller. */
+  mayAnswer: (run: Run, durableSeq: number): boolean =>
+    run.phase === 'billed' && durableSeq >= run.lineAt,
+  /** Cost that a bill may state, in tokens. */
   billCost: (used: Tokens, reserved: Tokens): Tokens => Math.min(used, reserved),
-  /** Whether the journal proves that a ticket was neither billed nor, with intents, started. */
+  /** Whether the entry of a sealed holder proves that a ticket has neither a bill nor an intent. */
   isProvablyNotRun: (journal: JournalState, ticket: TicketId): boolean => {
     const holder = journal.holders[ticket.issuer];
     if (!holder || (holder.state !== 'sealed' && holder.state !== 'closed')) return false;
@@ -68,5 +68,5 @@
   },
 };
 
-/** Rules of one run. */
+/** Type of the rules of one walk. */
 export type ProtocolRules = typeof coreRules;
--- a/packages/lab/src/runtime/walk/scopes.ts
+++ b/packages/lab/src/runtime/walk/scopes.ts
@@ -1,7 +1,7 @@
-/** Small worlds to walk through; each has the steps that one part of the protocol needs. */
+/** Scopes of the exhaustive walk; each has the steps that one part of the protocol needs. */
 
 import type { IncarnationId } from '@flamingocourse/core';
-import type { HolderSetup, Step, StepType, WorldSetup } from './types.js';
+import type { HolderSetup, Step, StepType, SystemSetup } from './types.js';
 import type { Scope } from './walk.js';
 import { NON_IDEMPOTENT } from './rules.js';
 
@@ -20,21 +20,21 @@
   { id: 'a3', witnesses: [] },
 ];
 
-const RENAMED: readonly HolderSetup[] = [
+const RENAMED_WITNESSES: readonly HolderSetup[] = [
   { id: 'a1', witnesses: ['a2'] },
   { id: 'a2', witnesses: [] },
   { id: 'a3', witnesses: [] },
 ];
 
-const ISLES: readonly HolderSetup[] = [
+const ONE_PER_DATA_CENTRE: readonly HolderSetup[] = [
   { id: 'a1', witnesses: [] },
   { id: 'b1', witnesses: [] },
 ];
 
-/** Steps by which lines travel. */
-const TRAVEL: readonly StepType[] = ['send', 'deliver', 'readJournal'];
+/** Steps that move lines between a holder and the journal. */
+const LINE_TRANSFER: readonly StepType[] = ['send', 'deliver', 'readJournal'];
 
-/** Steps of a request without the choice of a cost. */
+/** Steps of an idempotent request, except those that have a cost or a request number. */
 const IDEMPOTENT_RUN: readonly StepType[] = ['reserve', 'dispatch', 'claim', 'finalEvent'];
 
 const NON_IDEMPOTENT_RUN: readonly StepType[] = [...IDEMPOTENT_RUN, 'takeOver', 'intent', 'giveUp'];
@@ -43,12 +43,12 @@
 export const scopes: readonly Scope[] = [
   {
     name: 'budget',
-    setup: setup(ISLES, { openingTokens: 3, maxLines: 2 }),
+    setup: setup(ONE_PER_DATA_CENTRE, { openingTokens: 3, maxLines: 2 }),
     steps: [
       ...['a', 'b'].flatMap((dataCentre) => budgetSteps(dataCentre)),
       { ...NO_STEP, type: 'topUp' },
       ...['a1', 'b1'].flatMap((holder) => [
-        ...of(holder, TRAVEL),
+        ...stepsOf(holder, LINE_TRANSFER),
         { ...NO_STEP, type: 'take' as const, holder, amount: 2 },
       ]),
     ],
@@ -59,7 +59,7 @@
     name: 'spend',
     setup: setup(PAIR, { openingTokens: 3, grantedAtStart: 3, sliceAtStart: 2, maxLines: 4 }),
     steps: ['a1', 'a2'].flatMap((holder) => [
-      ...of(holder, [...TRAVEL, 'reserve', 'dispatch', 'claim', 'startSeal']),
+      ...stepsOf(holder, [...LINE_TRANSFER, 'reserve', 'dispatch', 'claim', 'startSeal']),
       { ...NO_STEP, type: 'take' as const, holder, amount: 2 },
       { ...NO_STEP, type: 'give' as const, holder, amount: 1 },
       { ...NO_STEP, type: 'start' as const, holder, request: holder === 'a1' ? 2 : 3 },
@@ -72,9 +72,15 @@
     name: 'seal',
     setup: setup(PAIR, { openingTokens: 2, grantedAtStart: 2, sliceAtStart: 2, maxLines: 3 }),
     steps: [
-      ...of('a1', [...TRAVEL, 'deliverLast', ...IDEMPOTENT_RUN, 'startSeal', 'finishSeal']),
-      ...of('a1', ['keep', 'replay', 'fence'], 'a2'),
-      ...of('a2', ['readJournal', 'send', 'deliver']),
+      ...stepsOf('a1', [
+        ...LINE_TRANSFER,
+        'deliverLast',
+        ...IDEMPOTENT_RUN,
+        'startSeal',
+        'finishSeal',
+      ]),
+      ...stepsOf('a1', ['storeAtWitness', 'replay', 'fence'], 'a2'),
+      ...stepsOf('a2', ['readJournal', 'send', 'deliver']),
       { ...NO_STEP, type: 'start', holder: 'a1', request: IDEMPOTENT },
       { ...NO_STEP, type: 'bill', holder: 'a1', amount: 1 },
       { ...NO_STEP, type: 'give', holder: 'a1', amount: 1 },
@@ -92,7 +98,12 @@
   },
   {
     name: 'renamed witnesses',
-    setup: setup(RENAMED, { openingTokens: 2, grantedAtStart: 2, sliceAtStart: 2, maxLines: 3 }),
+    setup: setup(RENAMED_WITNESSES, {
+      openingTokens: 2,
+      grantedAtStart: 2,
+      sliceAtStart: 2,
+      maxLines: 3,
+    }),
     steps: [...witnessSteps(), { ...NO_STEP, type: 'renameWitnesses', holder: 'a1', peer: 'a3' }],
     maxDepth: 13,
     fullDepth: 40,
@@ -113,7 +124,7 @@
   },
   {
     name: 'revisions',
-    setup: setup(ISLES, { openingTokens: 0, maxLines: 0 }),
+    setup: setup(ONE_PER_DATA_CENTRE, { openingTokens: 0, maxLines: 0 }),
     steps: [
       { ...NO_STEP, type: 'publish' },
       ...['a1', 'b1'].flatMap((holder) =>
@@ -127,12 +138,12 @@
 
 function setup(
   holders: readonly HolderSetup[],
-  parts: Pick<WorldSetup, 'openingTokens' | 'maxLines'> & Partial<WorldSetup>,
-): WorldSetup {
+  parts: Pick<SystemSetup, 'openingTokens' | 'maxLines'> & Partial<SystemSetup>,
+): SystemSetup {
   return { holders, grantedAtStart: 0, sliceAtStart: 0, ...parts };
 }
 
-function of(holder: IncarnationId, types: readonly StepType[], peer = ''): Step[] {
+function stepsOf(holder: IncarnationId, types: readonly StepType[], peer = ''): Step[] {
   return types.map((type) => ({ ...NO_STEP, type, holder, peer }));
 }
 
@@ -147,27 +158,27 @@
   ];
 }
 
-/** a1 answers one request, with its lines at either of two peers, and is sealed. */
+/** a1 answers one request, stores its lines at either of two peers, and is sealed. */
 function witnessSteps(): Step[] {
   return [
-    ...of('a1', [...TRAVEL, ...IDEMPOTENT_RUN, 'startSeal', 'finishSeal']),
-    ...of('a1', ['keep', 'fence'], 'a2'),
-    ...of('a1', ['keep', 'fence'], 'a3'),
-    ...of('a2', ['readJournal']),
+    ...stepsOf('a1', [...LINE_TRANSFER, ...IDEMPOTENT_RUN, 'startSeal', 'finishSeal']),
+    ...stepsOf('a1', ['storeAtWitness', 'fence'], 'a2'),
+    ...stepsOf('a1', ['storeAtWitness', 'fence'], 'a3'),
+    ...stepsOf('a2', ['readJournal']),
     { ...NO_STEP, type: 'start', holder: 'a1', request: IDEMPOTENT },
     { ...NO_STEP, type: 'bill', holder: 'a1', amount: 2 },
   ];
 }
 
-/** One request under a key reaches both routers; the first of them may be sealed. */
+/** A request with one key arrives at both routers; the first router may be sealed. */
 function keySteps(request: number, run: readonly StepType[]): Step[] {
   return [
     ...['a1', 'a2'].flatMap((holder) => [
-      ...of(holder, [...TRAVEL, ...run]),
+      ...stepsOf(holder, [...LINE_TRANSFER, ...run]),
       { ...NO_STEP, type: 'start' as const, holder, request },
       { ...NO_STEP, type: 'bill' as const, holder, amount: 2 },
     ]),
-    ...of('a1', ['startSeal', 'finishSeal']),
-    ...of('a1', ['keep', 'fence'], 'a2'),
+    ...stepsOf('a1', ['startSeal', 'finishSeal']),
+    ...stepsOf('a1', ['storeAtWitness', 'fence'], 'a2'),
   ];
 }
--- a/packages/lab/src/runtime/walk/storeSteps.ts
+++ b/packages/lab/src/runtime/walk/storeSteps.ts
@@ -1,9 +1,9 @@
-/** Steps of ledger, journal, witnesses, seals and configuration. */
+/** Steps of the ledger, the journals, the witnesses, sealing and the configuration. */
 
 import type { IncarnationId, JournalChange } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
 import type { ProtocolRules } from './rules.js';
-import type { Step, StepType, World } from './types.js';
+import type { Step, StepType, SystemState } from './types.js';
 import { dropApplied, pool, shareOf, ungranted } from '@flamingocourse/core';
 import {
   ACCOUNT,
@@ -15,139 +15,139 @@
   spenderOf,
   withHolder,
   withJournal,
-} from './createWorld.js';
+} from './initialState.js';
 
-/** Gives the next state, or nothing when the step is not possible. */
+/** Returns the next state, or `undefined` when the step is not possible. */
 export type StepFunction = (
-  world: World,
+  system: SystemState,
   step: Step,
   rules: ProtocolRules,
   maxLines: number,
-) => World | undefined;
+) => SystemState | undefined;
 
-/** Tokens of the one top-up. */
+/** Tokens of the only top-up. */
 const TOP_UP = 2;
 
-/** Times that the top-up is sent; the second follows a lost reply. */
+/** How often the top-up is sent; the second time is a retry after a lost reply. */
 const TOP_UPS_SENT = 2;
 
 const MAX_REVISION = 3;
 
-/** Steps by type. */
+/** Step functions by type. */
 export const storeSteps: Partial<Record<StepType, StepFunction>> = {
-  grant: (world, { dataCentre, amount }, rules) => {
-    const entry = world.ledger.accounts[ACCOUNT];
+  grant: (system, { dataCentre, amount }, rules) => {
+    const entry = system.ledger.accounts[ACCOUNT];
     if (!entry || ungranted(entry) <= 0) return undefined;
-    return { ...world, ledger: rules.grant(world.ledger, ACCOUNT, dataCentre, amount) };
+    return { ...system, ledger: rules.grant(system.ledger, ACCOUNT, dataCentre, amount) };
   },
-  // copies may be late: any level that the ledger ever had may arrive.
-  copyGrant: (world, { dataCentre, amount }, rules) => {
-    const granted = ledgerShare(world, dataCentre).grantedIn - amount;
-    const journal = journalIn(world, dataCentre);
+  // Copies may be delayed, so any value that the ledger ever had may arrive.
+  copyGrant: (system, { dataCentre, amount }, rules) => {
+    const granted = ledgerShare(system, dataCentre).grantedIn - amount;
+    const journal = journalIn(system, dataCentre);
     if (granted < 0 || granted === journal.accounts[ACCOUNT]?.grantedIn) return undefined;
-    return withJournal(world, rules.recordGrant(journal, ACCOUNT, granted));
+    return withJournal(system, rules.recordGrant(journal, ACCOUNT, granted));
   },
-  startReturn: (world, { dataCentre, amount }, rules) => {
-    const journal = journalIn(world, dataCentre);
+  startReturn: (system, { dataCentre, amount }, rules) => {
+    const journal = journalIn(system, dataCentre);
     if (pool(journal, ACCOUNT) <= 0) return undefined;
-    return withJournal(world, rules.startReturn(journal, ACCOUNT, amount));
+    return withJournal(system, rules.startReturn(journal, ACCOUNT, amount));
   },
-  copyReturn: (world, { dataCentre }, rules) => {
-    const returned = journalIn(world, dataCentre).accounts[ACCOUNT]?.returnedOut ?? 0;
-    const ledger = rules.mergeReturned(world.ledger, ACCOUNT, dataCentre, returned);
-    return ledger === world.ledger ? undefined : { ...world, ledger };
+  copyReturn: (system, { dataCentre }, rules) => {
+    const returned = journalIn(system, dataCentre).accounts[ACCOUNT]?.returnedOut ?? 0;
+    const ledger = rules.mergeReturned(system.ledger, ACCOUNT, dataCentre, returned);
+    return ledger === system.ledger ? undefined : { ...system, ledger };
   },
-  topUp: (world, _step, rules) => {
-    const { observed } = world;
+  topUp: (system, _step, rules) => {
+    const { observed } = system;
     if (observed.topUps >= TOP_UPS_SENT) return undefined;
     const change = { id: 'receipt', amount: TOP_UP, by: 'operator', at: 0 };
-    const ledger = rules.changeBudget(world.ledger, ACCOUNT, change).unwrapOr(world.ledger);
+    const ledger = rules.changeBudget(system.ledger, ACCOUNT, change).unwrapOr(system.ledger);
     const paid = observed.topUps === 0 ? observed.paid + TOP_UP : observed.paid;
-    return { ...world, ledger, observed: { ...observed, paid, topUps: observed.topUps + 1 } };
+    return { ...system, ledger, observed: { ...observed, paid, topUps: observed.topUps + 1 } };
   },
-  take: (world, { holder, amount }, _rules, maxLines) =>
-    writeLine(world, holder, { type: 'take', account: ACCOUNT, amount }, maxLines),
-  give: (world, { holder, amount }, _rules, maxLines) => {
-    if ((spenderOf(world, holder)?.free(ACCOUNT) ?? 0) < amount) return undefined;
-    return writeLine(world, holder, { type: 'give', account: ACCOUNT, amount }, maxLines);
+  take: (system, { holder, amount }, _rules, maxLines) =>
+    writeLine(system, holder, { type: 'take', account: ACCOUNT, amount }, maxLines),
+  give: (system, { holder, amount }, _rules, maxLines) => {
+    if ((spenderOf(system, holder)?.free(ACCOUNT) ?? 0) < amount) return undefined;
+    return writeLine(system, holder, { type: 'give', account: ACCOUNT, amount }, maxLines);
   },
-  renameWitnesses: (world, { holder, peer }, _rules, maxLines) => {
-    const { history } = holderIn(world, holder);
+  renameWitnesses: (system, { holder, peer }, _rules, maxLines) => {
+    const { history } = holderIn(system, holder);
     if (history.some((line) => line.change.type === 'witnesses')) return undefined;
-    return writeLine(world, holder, { type: 'witnesses', witnesses: [peer] }, maxLines);
+    return writeLine(system, holder, { type: 'witnesses', witnesses: [peer] }, maxLines);
   },
-  send: (world, { holder }) => {
-    const spender = spenderOf(world, holder);
-    const { sent, ended } = holderIn(world, holder);
+  send: (system, { holder }) => {
+    const spender = spenderOf(system, holder);
+    const { sent, ended } = holderIn(system, holder);
     const lines = spender?.unapplied ?? [];
     if (ended || lines.length === 0 || lines.at(-1)?.seq === sent.at(-1)?.seq) return undefined;
-    return withHolder(world, holder, { sent: [...lines] });
-  },
-  deliver: (world, { holder }, rules) => deliver(world, holder, 0, rules),
-  // messages may overtake each other, so the last line may come before those in front of it.
-  deliverLast: (world, { holder }, rules) => deliver(world, holder, -1, rules),
-  readJournal: (world, { holder }) => {
-    const { view, witness } = holderIn(world, holder);
-    const journal = journalOf(world, holder);
+    return withHolder(system, holder, { sent: [...lines] });
+  },
+  deliver: (system, { holder }, rules) => deliver(system, holder, 0, rules),
+  // Messages may be reordered, so the last line may arrive before earlier lines.
+  deliverLast: (system, { holder }, rules) => deliver(system, holder, -1, rules),
+  readJournal: (system, { holder }) => {
+    const { view, witness } = holderIn(system, holder);
+    const journal = journalOf(system, holder);
     if (view === journal) return undefined;
     const isOpen = journal.holders[holder]?.state === 'open';
-    const kept = dropApplied(witness, journal);
-    const read = { view: journal, witness: kept };
-    return withHolder(world, holder, isOpen ? read : { ...read, ended: true, run: IDLE });
-  },
-  keep: (world, { holder, peer }, rules) => {
-    const spender = spenderOf(world, holder);
-    const witness = holderIn(world, peer);
-    if (!spender || holderIn(world, holder).ended) return undefined;
+    const unapplied = dropApplied(witness, journal);
+    const read = { view: journal, witness: unapplied };
+    return withHolder(system, holder, isOpen ? read : { ...read, ended: true, run: IDLE });
+  },
+  storeAtWitness: (system, { holder, peer }, rules) => {
+    const spender = spenderOf(system, holder);
+    const witness = holderIn(system, peer);
+    if (!spender || holderIn(system, holder).ended) return undefined;
     if (!rules.trustedWitnesses(spender).includes(peer)) return undefined;
     const last = spender.unapplied.at(-1)?.seq ?? 0;
-    if (last <= holderIn(world, holder).keptSeq) return undefined;
-    const kept = rules.keepLines(witness.witness, spender.unapplied, witness.view);
-    if (kept.isErr) return undefined;
-    const next = withHolder(world, peer, { witness: kept.value });
-    return withHolder(next, holder, { keptSeq: last });
-  },
-  replay: (world, { holder, peer }, rules) => {
-    const lines = holderIn(world, peer).witness.holders[holder]?.lines ?? [];
+    if (last <= holderIn(system, holder).storedSeq) return undefined;
+    const stored = rules.storeLines(witness.witness, spender.unapplied, witness.view);
+    if (stored.isErr) return undefined;
+    const next = withHolder(system, peer, { witness: stored.value });
+    return withHolder(next, holder, { storedSeq: last });
+  },
+  replay: (system, { holder, peer }, rules) => {
+    const lines = holderIn(system, peer).witness.holders[holder]?.lines ?? [];
     if (lines.length === 0) return undefined;
-    return written(world, rules.applyLines(journalOf(world, holder), lines));
+    return withResult(system, rules.applyLines(journalOf(system, holder), lines));
   },
-  startSeal: (world, { holder }, rules) => {
-    const journal = journalOf(world, holder);
+  startSeal: (system, { holder }, rules) => {
+    const journal = journalOf(system, holder);
     if (journal.holders[holder]?.state !== 'open') return undefined;
-    return written(world, rules.startSeal(journal, holder));
+    return withResult(system, rules.startSeal(journal, holder));
   },
-  fence: (world, { holder, peer }, rules) => {
-    const entry = journalOf(world, holder).holders[holder];
+  fence: (system, { holder, peer }, rules) => {
+    const entry = journalOf(system, holder).holders[holder];
     const key = fenceKey(holder, peer);
     if (entry?.state !== 'sealing' || !entry.witnesses.includes(peer)) return undefined;
-    if (world.fenced[key]) return undefined;
-    const { state, lines } = rules.fence(holderIn(world, peer).witness, holder);
-    const next = withHolder(world, peer, { witness: state });
-    return { ...next, fenced: { ...world.fenced, [key]: lines } };
+    if (system.fenced[key]) return undefined;
+    const { state, lines } = rules.fence(holderIn(system, peer).witness, holder);
+    const next = withHolder(system, peer, { witness: state });
+    return { ...next, fenced: { ...system.fenced, [key]: lines } };
   },
-  finishSeal: (world, { holder }, rules) => {
-    const journal = journalOf(world, holder);
+  finishSeal: (system, { holder }, rules) => {
+    const journal = journalOf(system, holder);
     if (journal.holders[holder]?.state !== 'sealing') return undefined;
-    const asked = rules.witnessesToAsk(journal, holder);
-    const answers = asked.map((peer) => world.fenced[fenceKey(holder, peer)]);
+    const witnesses = rules.witnessesToAsk(journal, holder);
+    const answers = witnesses.map((peer) => system.fenced[fenceKey(holder, peer)]);
     if (answers.includes(undefined)) return undefined;
     const lines = answers.flatMap((answer) => answer ?? []);
-    return written(world, rules.finishSeal(journal, holder, lines));
+    return withResult(system, rules.finishSeal(journal, holder, lines));
   },
-  publish: (world) => {
-    const { observed } = world;
+  publish: (system) => {
+    const { observed } = system;
     if (observed.published >= MAX_REVISION) return undefined;
-    return { ...world, observed: { ...observed, published: observed.published + 1 } };
+    return { ...system, observed: { ...observed, published: observed.published + 1 } };
   },
-  merge: (world, { holder, amount }, rules) => {
-    const { observed } = world;
+  merge: (system, { holder, amount }, rules) => {
+    const { observed } = system;
     if (amount > observed.published) return undefined;
-    const before = holderIn(world, holder).config;
+    const before = holderIn(system, holder).config;
     const objects = [{ ...DECLARED, revision: amount }];
     const state = rules.mergeUpdate(before, { asOf: amount, objects, complete: false });
     const fell = revisionOf(state) < revisionOf(before);
-    const next = withHolder(world, holder, { config: state });
+    const next = withHolder(system, holder, { config: state });
     return { ...next, observed: { ...observed, revisionFell: observed.revisionFell || fell } };
   },
 };
@@ -157,40 +157,43 @@
   return `${holder}<${witness}`;
 }
 
-/** Revision of the declared object that a holder has in force. */
-export function revisionOf(config: World['holders'][string]['config']): number {
+/** Revision of the declared object that is in force at a holder. */
+export function revisionOf(config: SystemState['holders'][string]['config']): number {
   return config.objects.get(`${DECLARED.kind}.${DECLARED.name}`)?.revision ?? 0;
 }
 
-/** Adds a line to a holder's own sequence. */
+/** Appends a line to a holder's own lines; `undefined` if it has ended or reached `maxLines`. */
 export function writeLine(
-  world: World,
+  system: SystemState,
   holder: IncarnationId,
   change: JournalChange,
   maxLines: number,
-): World | undefined {
-  const { history, ended } = holderIn(world, holder);
+): SystemState | undefined {
+  const { history, ended } = holderIn(system, holder);
   if (ended || history.length >= maxLines) return undefined;
   const line = { holder, seq: history.length + 1, change };
-  return withHolder(world, holder, { history: [...history, line] });
+  return withHolder(system, holder, { history: [...history, line] });
 }
 
 function deliver(
-  world: World,
+  system: SystemState,
   holder: IncarnationId,
   from: number,
   rules: ProtocolRules,
-): World | undefined {
-  const { sent } = holderIn(world, holder);
+): SystemState | undefined {
+  const { sent } = holderIn(system, holder);
   if (sent.length === 0) return undefined;
-  return written(world, rules.applyLines(journalOf(world, holder), sent.slice(from)));
+  return withResult(system, rules.applyLines(journalOf(system, holder), sent.slice(from)));
 }
 
-function written(world: World, result: Result<World['journals'][string], unknown>): World {
-  return result.isOk ? withJournal(world, result.value) : world;
+function withResult(
+  system: SystemState,
+  result: Result<SystemState['journals'][string], unknown>,
+): SystemState {
+  return result.isOk ? withJournal(system, result.value) : system;
 }
 
-function ledgerShare(world: World, dataCentre: string): { grantedIn: number } {
-  const entry = world.ledger.accounts[ACCOUNT];
+function ledgerShare(system: SystemState, dataCentre: string): { grantedIn: number } {
+  const entry = system.ledger.accounts[ACCOUNT];
   return entry ? shareOf(entry, dataCentre) : { grantedIn: 0 };
 }
--- a/packages/lab/src/runtime/walk/types.ts
+++ b/packages/lab/src/runtime/walk/types.ts
@@ -1,4 +1,4 @@
-/** State and steps of the small world in which the real reducers are walked. */
+/** State and steps of the model that runs the production reducers. */
 
 import type {
   ClaimPage,
@@ -11,11 +11,11 @@
   WitnessState,
 } from '@flamingocourse/core';
 
-/** What a request at one holder has reached. */
+/** How far a request at a holder has progressed. */
 export type RunPhase =
   'idle' | 'claiming' | 'claimed' | 'reserved' | 'intended' | 'running' | 'ownBill' | 'billed';
 
-/** A request that a holder works on; each holder has at most one at a time. */
+/** A request that a holder runs; a holder runs at most one at a time. */
 export interface Run {
   readonly phase: RunPhase;
   readonly request: number;
@@ -24,51 +24,51 @@
   readonly lineAt: number;
 }
 
-/** One router incarnation. One that is frozen or killed takes no further step. */
-export interface HolderWorld {
-  /** Every line that it ever wrote. */
+/** State of one router incarnation. A suspended or killed one takes no further step. */
+export interface HolderState {
+  /** All lines that it has written. */
   readonly history: readonly JournalLine[];
-  /** Lines under way to the journal; they may arrive any number of times. */
+  /** Lines in flight to the journal; they may arrive any number of times. */
   readonly sent: readonly JournalLine[];
-  /** Journal as it last read it. */
+  /** Journal as of its last read. */
   readonly view: JournalState;
-  /** Highest line of which a witness confirmed that it keeps it. */
-  readonly keptSeq: number;
-  /** Lines that it keeps for its peers. */
+  /** Sequence number of the last line that a witness has confirmed to store. */
+  readonly storedSeq: number;
+  /** Lines that it stores for its peers. */
   readonly witness: WitnessState;
   readonly run: Run;
-  /** Set once it has read that it is being sealed. */
+  /** Whether it has read that it is being sealed or has been sealed. */
   readonly ended: boolean;
   readonly config: ConfigStore;
 }
 
-/** What an observer of everything knows; no holder reads it. */
+/** History of the whole system, for the invariants; no holder reads it. */
 export interface Observed {
   readonly paid: Tokens;
   readonly started: readonly string[];
   /** Tickets, as `holder/request`, that were sent to a backend server. */
   readonly dispatched: readonly string[];
-  /** Tickets of which somebody was told that they did not run. */
+  /** Tickets that were reported as not run. */
   readonly notRun: readonly string[];
-  /** Requests whose caller has seen the final event. */
+  /** Requests whose final event was sent to the caller. */
   readonly answered: readonly number[];
   readonly topUps: number;
   readonly published: number;
   readonly revisionFell: boolean;
 }
 
-/** Whole state of the world. Immutable. */
-export interface World {
+/** State of the whole system. Immutable. */
+export interface SystemState {
   readonly ledger: LedgerPage;
   readonly journals: Readonly<Record<string, JournalState>>;
-  readonly holders: Readonly<Record<IncarnationId, HolderWorld>>;
-  /** Answers of witnesses to a sealer, by `holder<witness`. */
+  readonly holders: Readonly<Record<IncarnationId, HolderState>>;
+  /** Lines in the answers of witnesses to a sealer, by `holder<witness`. */
   readonly fenced: Readonly<Record<string, readonly JournalLine[]>>;
   readonly claims: ClaimPage;
   readonly observed: Observed;
 }
 
-/** Kinds of steps; the names are those of the specification. */
+/** Types of steps, named like the actions of the specification. */
 export type StepType =
   | 'grant'
   | 'copyGrant'
@@ -82,7 +82,7 @@
   | 'deliver'
   | 'deliverLast'
   | 'readJournal'
-  | 'keep'
+  | 'storeAtWitness'
   | 'replay'
   | 'startSeal'
   | 'fence'
@@ -99,7 +99,7 @@
   | 'publish'
   | 'merge';
 
-/** A step; which fields count depends on its type. */
+/** A step. Its type determines which of the fields are used. */
 export interface Step {
   readonly type: StepType;
   readonly holder: IncarnationId;
@@ -109,20 +109,20 @@
   readonly request: number;
 }
 
-/** A holder of the world and who keeps lines for it. */
+/** A holder and the witnesses that store its lines. */
 export interface HolderSetup {
   readonly id: IncarnationId;
   readonly witnesses: readonly IncarnationId[];
 }
 
-/** How the world begins. */
-export interface WorldSetup {
+/** Parameters of the initial state. */
+export interface SystemSetup {
   readonly holders: readonly HolderSetup[];
   readonly openingTokens: Tokens;
-  /** Tokens that each data centre has from the start. */
+  /** Tokens granted to each data centre in the initial state. */
   readonly grantedAtStart: Tokens;
-  /** Tokens that each holder has from the start. */
+  /** Tokens in each holder's slice in the initial state. */
   readonly sliceAtStart: Tokens;
-  /** Lines that a holder may write beyond that. */
+  /** Maximum number of lines of a holder, including the one for its first slice. */
   readonly maxLines: number;
 }
--- a/packages/lab/src/runtime/walk/walk.ts
+++ b/packages/lab/src/runtime/walk/walk.ts
@@ -1,23 +1,26 @@
-/** Breadth-first walk through every state of a small world, up to a depth. */
+/**
+ * Exhaustive breadth-first walk: visits every reachable state of a small model up to a depth, and
+ * checks the invariants in each.
+ */
 
 import type { ProtocolRules } from './rules.js';
-import type { Step, World, WorldSetup } from './types.js';
+import type { Step, SystemState, SystemSetup } from './types.js';
 import type { Violation } from './findViolation.js';
-import { createWorld } from './createWorld.js';
+import { createInitialState } from './initialState.js';
 import { findViolation } from './findViolation.js';
 import { requestSteps } from './requestSteps.js';
 import { coreRules } from './rules.js';
 import { StateKeys } from './stateKey.js';
 import { storeSteps } from './storeSteps.js';
 
-/** A world with the steps that may be taken in it. */
+/** A setup with the steps that may be taken from it. */
 export interface Scope {
   readonly name: string;
-  readonly setup: WorldSetup;
+  readonly setup: SystemSetup;
   readonly steps: readonly Step[];
-  /** Steps from the first state. */
+  /** Maximum number of steps from the initial state. */
   readonly maxDepth: number;
-  /** Depth of the larger walk, by command. */
+  /** Maximum number of steps in the larger walk of the mutant report. */
   readonly fullDepth: number;
 }
 
@@ -25,54 +28,55 @@
 export interface WalkOptions {
   readonly rules?: ProtocolRules;
   readonly maxDepth?: number;
-  /** The walk ends unfinished beyond so many states. */
+  /** The walk stops unfinished at this number of states. @default 2,000,000 */
   readonly maxStates?: number;
 }
 
-/** What a walk found. */
+/** Result of a walk. */
 export interface WalkResult {
   readonly scope: string;
   readonly states: number;
   readonly depth: number;
-  /** `whole`: no state is left; `depth`: all within the depth; `states`: given up. */
+  /** `whole`: all reachable states; `depth`: all within the depth; `states`: stopped at the limit. */
   readonly end: 'whole' | 'depth' | 'states' | 'violation';
   readonly violation?: Violation;
-  /** Shortest way to the violation. */
+  /** Shortest sequence of steps to the violation. */
   readonly trace?: readonly Step[];
-  /** Requests that some state shows as answered. */
+  /** Number of requests that are answered in at least one state. */
   readonly answered: number;
 }
 
 interface Node {
-  readonly world: World;
+  readonly system: SystemState;
   readonly step?: Step;
   readonly from?: Node;
 }
 
 const DEFAULT_MAX_STATES = 2_000_000;
 
-/** Takes one step; nothing when it is not possible in this state. */
+/** Takes one step; `undefined` when it is not possible in this state. */
 export function takeStep(
-  world: World,
+  system: SystemState,
   step: Step,
   rules: ProtocolRules,
   maxLines: number,
-): World | undefined {
+): SystemState | undefined {
   const stepFunction = storeSteps[step.type] ?? requestSteps[step.type];
-  return stepFunction?.(world, step, rules, maxLines);
+  return stepFunction?.(system, step, rules, maxLines);
 }
 
 /**
- * Walks through a scope and stops at the first state in which something is wrong.
+ * Walks through a scope and stops at the first state that breaks an invariant.
  *
  * @example
- * walk(scopes.seal).violation === undefined;
+ * const seal = scopes.find((scope) => scope.name === 'seal');
+ * walk(seal).violation === undefined;
  */
 export function walk(scope: Scope, options: WalkOptions = {}): WalkResult {
   const { rules = coreRules, maxDepth = scope.maxDepth, maxStates = DEFAULT_MAX_STATES } = options;
   const keys = new StateKeys();
-  const first: Node = { world: createWorld(scope.setup) };
-  const seen = new Set([keys.keyOf(first.world)]);
+  const first: Node = { system: createInitialState(scope.setup) };
+  const seen = new Set([keys.keyOf(first.system)]);
   const answered = new Set<number>();
   let level: Node[] = [first];
   const result = (depth: number, end: WalkResult['end'], at?: Node): WalkResult => ({
@@ -87,11 +91,11 @@
     const next: Node[] = [];
     for (const node of level) {
       for (const child of childrenOf(node, scope, rules)) {
-        const key = keys.keyOf(child.world);
+        const key = keys.keyOf(child.system);
         if (seen.has(key)) continue;
         seen.add(key);
-        for (const request of child.world.observed.answered) answered.add(request);
-        if (findViolation(child.world)) return result(depth, 'violation', child);
+        for (const request of child.system.observed.answered) answered.add(request);
+        if (findViolation(child.system)) return result(depth, 'violation', child);
         if (seen.size >= maxStates) return result(depth, 'states');
         next.push(child);
       }
@@ -105,8 +109,8 @@
 function childrenOf(node: Node, scope: Scope, rules: ProtocolRules): Node[] {
   const children: Node[] = [];
   for (const step of scope.steps) {
-    const world = takeStep(node.world, step, rules, scope.setup.maxLines);
-    if (world && world !== node.world) children.push({ world, step, from: node });
+    const system = takeStep(node.system, step, rules, scope.setup.maxLines);
+    if (system && system !== node.system) children.push({ system, step, from: node });
   }
   return children;
 }
@@ -114,6 +118,6 @@
 function describe(node: Node): Pick<WalkResult, 'violation' | 'trace'> {
   const trace: Step[] = [];
   for (let at: Node | undefined = node; at?.step; at = at.from) trace.unshift(at.step);
-  const violation = findViolation(node.world);
+  const violation = findViolation(node.system);
   return violation ? { violation, trace } : { trace };
 }
--- a/test/spec/specification.test.ts
+++ b/test/spec/specification.test.ts
@@ -15,43 +15,56 @@
 
 const TRACES = 40;
 
-/** States that the simulation has to reach; without them it would have shown nothing. */
-const reached = ['someAnswered', 'someSealedAfterBill', 'someIntentKept', 'someKeptByWitness'];
+/** States that the simulation has to reach to be a meaningful check. */
+const reachedStates = [
+  'someAnswered',
+  'someSealedAfterBill',
+  'someIntentOpen',
+  'someStoredAtWitness',
+];
 
-/** Broken rules that the replay must notice, or it would not compare enough. */
-const visible = [
+/** Mutants that the replay must detect; otherwise it compares too little. */
+const detectableMutants = [
   'take beyond the pool',
   'settle repeated after a lost reply',
   'journal takes lines of a sealed holder',
   'grant without limit check',
 ];
 
-test('the specification has no type faults and its scenarios hold', async () => {
+test('the specification passes the type check and its scenarios', async () => {
   await quint(['typecheck', SPEC]);
   await quint(['test', SPEC, '--main=flamingocourse', '--backend=typescript']);
 });
 
-test('200 runs of 60 steps keep all invariants and reach the states that matter', async () => {
-  // a fault of the protocol itself: an overdraft, a second bill or run, a false "not run".
-  const options = ['--seed=1', '--max-samples=200', '--verbosity=1', '--witnesses', ...reached];
+test('200 runs of 60 steps satisfy all invariants and reach all required states', async () => {
+  // Guards against a fault of the protocol itself: an overdraft, a second bill or execution, or a
+  // false "not run".
+  const options = [
+    '--seed=1',
+    '--max-samples=200',
+    '--verbosity=1',
+    '--witnesses',
+    ...reachedStates,
+  ];
   const printed = await quint(['run', SPEC, ...SIMULATION, ...options]);
   assert.match(printed, /No violation found/);
-  for (const name of reached) assert.match(printed, new RegExp(`${name} was witnessed in [1-9]`));
+  for (const name of reachedStates)
+    assert.match(printed, new RegExp(`${name} was witnessed in [1-9]`));
 });
 
-test('traces of the specification replay on the real reducers', async (context) => {
-  // the code would do otherwise than what was checked: each action is taken by the reducers too,
-  // and ledger, journals, lines, tickets, claims and requests are compared after each.
+test('traces of the specification replay on the production reducers', async (context) => {
+  // Guards against code that differs from the checked specification: the reducers take each action
+  // too, and ledger, journals, lines, tickets, claims and requests are compared after it.
   const traces = await writeTraces(context);
   const lengths = traces.map((trace) =>
     replayTrace(trace).unwrapOrElse((err) => assert.fail(err.message)),
   );
   assert.equal(lengths.length, TRACES);
-  for (const name of visible) {
+  for (const name of detectableMutants) {
     const { rules } = mutantList.find((mutant) => mutant.name === name) ?? assert.fail(name);
     assert.ok(
       traces.some((trace) => replayTrace(trace, rules).isErr),
-      `not noticed: ${name}`,
+      `not detected: ${name}`,
     );
   }
 });
--- a/test/spec/walk.test.ts
+++ b/test/spec/walk.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { catchMutant, hasFailed, mutantList, scopes, walk } from '@flamingocourse/lab';
 
-/** Scopes in which a caller can get an answer; a walk that never shows one proves nothing. */
-const answering = [
+/** Scopes in which a caller can get an answer; their walks must reach a state with one. */
+const answeringScopes = [
   'seal',
   'witnesses',
   'renamed witnesses',
@@ -12,28 +12,29 @@
 ];
 
 for (const scope of scopes) {
-  test(`every state of "${scope.name}" within ${scope.maxDepth} steps is sound`, () => {
-    // an account would be overdrawn, an answer billed twice or never, a reservation made twice, or
-    // a caller told "not run" of what ran: steps of routers, stores and seals come in every order.
+  test(`every state of "${scope.name}" within ${scope.maxDepth} steps satisfies the invariants`, () => {
+    // Guards against an overdrawn account, an answer billed twice or never, a non-idempotent request
+    // that runs twice, and a request reported as "not run" although it ran. The walk takes the steps
+    // of routers, stores and sealers in every order.
     const result = walk(scope);
     assert.equal(result.violation, undefined, JSON.stringify(result.trace));
     assert.notEqual(result.end, 'states');
-    assert.equal(result.answered > 0, answering.includes(scope.name));
+    assert.equal(result.answered > 0, answeringScopes.includes(scope.name));
   });
 }
 
 for (const mutant of mutantList) {
-  test(`a protocol with "${mutant.name}" is caught`, () => {
+  test(`the mutant "${mutant.name}" is detected`, () => {
     const { caught } = catchMutant(mutant);
-    assert.ok(caught?.violation, `no walk notices: ${mutant.name}`);
+    assert.ok(caught?.violation, `no walk detects: ${mutant.name}`);
   });
 }
 
-test('a mutant that survives and a violation of the unbroken protocol fail the report', () => {
-  const sound = { scope: 's', states: 1, depth: 1, end: 'whole', answered: 0 } as const;
-  const wrong = { ...sound, end: 'violation', violation: 'revision fell' } as const;
-  const caught = { name: 'm', states: 1, caught: wrong };
-  assert.equal(hasFailed({ unbroken: [sound], mutants: [caught] }), false);
-  assert.equal(hasFailed({ unbroken: [sound], mutants: [{ name: 'm', states: 1 }] }), true);
-  assert.equal(hasFailed({ unbroken: [wrong], mutants: [caught] }), true);
+test('a surviving mutant and a violation by the unmutated protocol fail the report', () => {
+  const passed = { scope: 's', states: 1, depth: 1, end: 'whole', answered: 0 } as const;
+  const failed = { ...passed, end: 'violation', violation: 'revision fell' } as const;
+  const caught = { name: 'm', states: 1, caught: failed };
+  assert.equal(hasFailed({ unbroken: [passed], mutants: [caught] }), false);
+  assert.equal(hasFailed({ unbroken: [passed], mutants: [{ name: 'm', states: 1 }] }), true);
+  assert.equal(hasFailed({ unbroken: [failed], mutants: [caught] }), true);
 });
