--- a/packages/lab/src/runtime/budgetMeasure/oracle.ts
+++ b/packages/lab/src/runtime/budgetMeasure/oracle.ts
@@ -1,32 +1,32 @@
 /**
- * Central ledgers that are never cut off, fed with the same arrivals as the fleet. A request that
- * the fleet refuses for budget while such a ledger could carry it is a false refusal.
+ * Central ledgers that are always reachable and get the same arrivals as the fleet. A request that
+ * the fleet refuses because of its budget, although such a ledger could pay for it, is a false refusal.
  */
 
 import type { AccountId, EpochMs, Tokens } from '@flamingocourse/core';
 import type { RequestRecord } from './requestPlan.js';
 
-/** `naive` sets the worst case aside and settles later; `perfect` knows the cost beforehand. */
+/** `naive` reserves the worst case and settles later; `perfect` knows the cost in advance. */
 export type OracleType = 'naive' | 'perfect';
 
-/** A top-up at its time. */
+/** A top-up and when it takes effect. */
 export interface OracleTopUp {
   account: AccountId;
   amount: Tokens;
   at: EpochMs;
-  /** The data centres' routers (by index) that a cut keeps from learning of it, and until when. */
+  /** Indices of the routers that do not get it because of a partition, and until when. */
   hiddenFrom?: { routers: readonly number[]; until: EpochMs };
 }
 
-/** Refusals of the fleet against one oracle. */
+/** False refusals of the fleet, compared with one oracle. */
 export interface FalseRefusals {
-  /** The oracle could carry the request. */
+  /** Refused requests that the oracle could pay for. */
   count: number;
-  /** Could carry it only with a top-up that a cut hid from the router; not in `count`. */
+  /** Payable only with a top-up that a partition hid from the router; not included in `count`. */
   hiddenTopUp: number;
 }
 
-/** Reasons that mean that the budget, or the way to it, was lacking. */
+/** Refusal reasons that mean that the budget was exhausted or could not be reached. */
 const BUDGET_REASONS = new Set([
   'budget-exhausted',
   'budget-unreachable',
@@ -54,13 +54,13 @@
   const found: FalseRefusals = { count: 0, hiddenTopUp: 0 };
   for (const [account, budget] of budgets) {
     const own = records.filter((record) => record.account === account);
-    const raised = topUps.filter((topUp) => topUp.account === account);
-    judgeAccount(type, budget, own, raised, found);
+    const toppedUp = topUps.filter((topUp) => topUp.account === account);
+    checkAccount(type, budget, own, toppedUp, found);
   }
   return found;
 }
 
-function judgeAccount(
+function checkAccount(
   type: OracleType,
   budget: Tokens,
   records: RequestRecord[],
@@ -74,15 +74,15 @@
     const now = record.arrivedAt;
     free += total(settlements.filter((one) => one.at <= now));
     settlements = settlements.filter((one) => one.at > now);
-    const raised = total(topUps.filter((topUp) => topUp.at <= now));
-    const asked = type === 'naive' ? record.worst : record.cost;
-    if (free + raised < asked) continue;
-    free -= asked;
-    const unused = asked - record.cost;
+    const toppedUp = total(topUps.filter((topUp) => topUp.at <= now));
+    const required = type === 'naive' ? record.worst : record.cost;
+    if (free + toppedUp < required) continue;
+    free -= required;
+    const unused = required - record.cost;
     if (unused > 0) settlements.push({ at: now + record.durationMs, amount: unused });
     if (!BUDGET_REASONS.has(record.outcome)) continue;
     const hidden = total(topUps.filter((topUp) => isHidden(topUp, record)));
-    if (free + asked + raised - hidden < asked) found.hiddenTopUp += 1;
+    if (free + required + toppedUp - hidden < required) found.hiddenTopUp += 1;
     else found.count += 1;
   }
 }
--- a/packages/lab/src/runtime/budgetMeasure/requestPlan.ts
+++ b/packages/lab/src/runtime/budgetMeasure/requestPlan.ts
@@ -1,4 +1,4 @@
-/** Requests of the budget measurement: skewed over accounts and routers, drawn from a seed. */
+/** Random requests of the budget measurement, skewed over accounts and routers. */
 
 import type { AccountId, EpochMs, Tokens } from '@flamingocourse/core';
 import type { Random } from '../random.js';
@@ -10,28 +10,28 @@
   account: AccountId;
   /** Index of the router that the caller uses. */
   router: number;
-  /** Worst case, set aside before dispatch. */
+  /** Worst-case cost, reserved before dispatch. */
   worst: Tokens;
-  /** Actual use, known when the answer ends. */
+  /** Actual cost, known when the answer ends. */
   cost: Tokens;
   /** Time from dispatch to the end of the answer, in milliseconds. */
   durationMs: number;
 }
 
-/** What became of a request. */
+/** A request with its outcome. */
 export interface RequestRecord extends BudgetRequest {
   arrivedAt: EpochMs;
-  /** `served`, or the reason of the refusal. */
+  /** `served`, or the reason for the refusal. */
   outcome: string;
-  /** Time that the reservation took, in milliseconds. */
+  /** Duration of the reservation in milliseconds. */
   reserveMs: number;
-  /** Time that the bill took; absent for refused requests. */
+  /** Duration of the bill in milliseconds; absent for refused requests. */
   billMs?: number;
-  /** Identity of the bill that the router said to be kept. */
+  /** Identity of the bill that the router reported as stored. */
   billId?: string;
 }
 
-/** Size of a plan. */
+/** Parameters of a plan. */
 export interface PlanSize {
   seconds: number;
   ratePerSecond: number;
@@ -39,7 +39,7 @@
   accounts: readonly AccountId[];
 }
 
-/** Part of the previous account's or router's load that the next one has. */
+/** Ratio of the loads of consecutive accounts and of consecutive routers. */
 const SKEW = 0.6;
 
 const MS_PER_SECOND = 1_000;
@@ -48,18 +48,18 @@
 const DURATION_MS = { from: 30, to: 400 };
 
 /**
- * Draws a plan.
+ * Draws a random plan of requests.
  *
  * @example
  * planRequests({ seconds: 10, ratePerSecond: 100, routers: 8, accounts: ['kirk'] }, createRandom(1));
  */
 export function planRequests(size: PlanSize, random: Random): BudgetRequest[] {
-  const accounts = skewed(size.accounts);
-  const routers = skewed(Array.from({ length: size.routers }, (_, index) => index));
+  const accounts = withSkewedWeights(size.accounts);
+  const routers = withSkewedWeights(Array.from({ length: size.routers }, (_, index) => index));
   const plan: BudgetRequest[] = [];
   let atMs = 0;
   for (;;) {
-    // exponential gaps make the arrivals a Poisson process.
+    // Exponential gaps make the arrivals a Poisson process.
     atMs += (-Math.log(1 - random.fraction()) * MS_PER_SECOND) / size.ratePerSecond;
     if (atMs >= size.seconds * MS_PER_SECOND) return plan;
     const account = random.pickWeighted(accounts).value;
@@ -68,7 +68,7 @@
   }
 }
 
-/** Tokens a second that a plan of this rate uses on average, by account. */
+/** Average use of a plan in tokens per second, by account. */
 export function meanDemand(plan: BudgetRequest[], seconds: number): Map<AccountId, number> {
   const demand = new Map<AccountId, number>();
   for (const { account, cost } of plan) {
@@ -79,14 +79,14 @@
 
 function drawCost(random: Random): Pick<BudgetRequest, 'worst' | 'cost' | 'durationMs'> {
   const prompt = random.int(PROMPT_TOKENS.from, PROMPT_TOKENS.to);
-  const mostOutput = random.int(MAX_OUTPUT_TOKENS.from, MAX_OUTPUT_TOKENS.to);
-  // the router bounds the prompt from its bytes, so the actual count is lower.
+  const maxOutput = random.int(MAX_OUTPUT_TOKENS.from, MAX_OUTPUT_TOKENS.to);
+  // The router derives an upper bound of the prompt from its bytes, so the actual count is lower.
   const actualPrompt = Math.ceil(prompt * (0.6 + 0.3 * random.fraction()));
-  const output = Math.ceil(mostOutput * random.fraction());
+  const output = Math.ceil(maxOutput * random.fraction());
   const durationMs = random.int(DURATION_MS.from, DURATION_MS.to);
-  return { worst: prompt + mostOutput, cost: actualPrompt + output, durationMs };
+  return { worst: prompt + maxOutput, cost: actualPrompt + output, durationMs };
 }
 
-function skewed<T>(values: readonly T[]): { value: T; weight: number }[] {
+function withSkewedWeights<T>(values: readonly T[]): { value: T; weight: number }[] {
   return values.map((value, index) => ({ value, weight: SKEW ** index }));
 }
--- a/packages/lab/src/runtime/naive/naiveFleet.ts
+++ b/packages/lab/src/runtime/naive/naiveFleet.ts
@@ -1,11 +1,11 @@
-/** The naive version: one process that never fails, one ledger, and knowledge of everything. */
+/** Reference model: one process that never fails, with one ledger and full knowledge. */
 
 import type { Tokens } from '@flamingocourse/core';
 import type { FleetEvent, Outcome } from './types.js';
 import { WORST_CASE, costOf } from './types.js';
 
 /**
- * Serves each key once and bills it at once.
+ * Answers each key once and bills it immediately.
  *
  * @example
  * new NaiveFleet(100).handle({ type: 'request', router: 0, key: 3, dies: 'none' }); // 'answered'
@@ -23,7 +23,7 @@
     return [...this.billed.values()].reduce((sum, cost) => sum + cost, 0);
   }
 
-  /** Takes one event; faults do not touch it. */
+  /** Handles one event; faults have no effect. */
   handle(event: FleetEvent): Outcome | undefined {
     if (event.type === 'top-up') this.#limit += event.amount;
     if (event.type !== 'request') return undefined;
--- a/packages/lab/src/runtime/naive/reducerFleet.ts
+++ b/packages/lab/src/runtime/naive/reducerFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Four routers in two data centres that decide by the real reducers, with the protocol's steps in
- * the order of the services, and faults between them. No time passes and nothing waits.
+ * Four routers in two data centres that decide with the production reducers. The protocol's steps
+ * run in the same order as in the services, with faults between them. There is no time and no waiting.
  */
 
 import type { IncarnationId, JournalChange, TicketId, Tokens } from '@flamingocourse/core';
@@ -14,19 +14,19 @@
 
 const ROUTERS_PER_DATA_CENTRE = 2;
 
-/** Tokens that a router takes beyond what it lacks. */
+/** Tokens that a router takes in addition to its shortfall. */
 const SPARE: Tokens = 10;
 
-/** The fleet. */
+/** Model fleet on the production reducers. */
 export class ReducerFleet {
   readonly store: ReducerStore;
-  /** Times that each key was sent to a backend server. */
+  /** How often each key was sent to a backend server. */
   readonly runs = new Map<number, number>();
   #isUp = true;
   #incarnations = 0;
   readonly #routers: ReducerRouter[] = [];
   readonly #tickets = new Map<number, TicketId>();
-  /** Holders of which not all witnesses have answered yet. */
+  /** Holders that are not sealed yet because not all witnesses have answered. */
   #unsealed: { dataCentre: string; holder: IncarnationId }[] = [];
 
   constructor(limit: Tokens) {
@@ -36,10 +36,10 @@
         this.#routers.push(createRouter(dataCentre, this.#nextId(dataCentre)));
       }
     }
-    this.#tend();
+    this.#maintain();
   }
 
-  /** Takes one event. */
+  /** Handles one event. */
   handle(event: FleetEvent): Outcome | undefined {
     switch (event.type) {
       case 'request':
@@ -49,30 +49,30 @@
         return undefined;
       case 'platform':
         this.#isUp = event.isUp;
-        this.#tend();
+        this.#maintain();
         return undefined;
       case 'seal':
-        this.#sealAlive(this.#router(event.router));
+        this.#sealRunning(this.#router(event.router));
         return undefined;
       case 'lose-reply':
-        this.#router(event.router).losesReply = true;
+        this.#router(event.router).losesNextReply = true;
         return undefined;
     }
   }
 
-  /** Brings the platform back and puts all kept lines into the journals. */
+  /** Makes the platform reachable again and writes all stored lines to the journals. */
   settle(): void {
     this.#isUp = true;
-    this.#tend();
+    this.#maintain();
     for (const router of this.#routers) {
-      // a router that lives reads the journal at each tick, also when no request comes.
+      // A running router reads the journal at each tick, even without requests.
       this.#sync(router);
       this.#append(router);
       this.store.read(router);
     }
   }
 
-  /** Ticket that may be billed for a key: that of the claim, or the one that was issued. */
+  /** Ticket that may be billed for a key: the one in the claim, or else the one that was issued. */
   ownerOf(key: number): TicketId | undefined {
     return this.store.claims.claims[`key-${key}`]?.ticket ?? this.#tickets.get(key);
   }
@@ -80,36 +80,39 @@
   #request({ router: index, key, dies }: RequestEvent): Outcome {
     const router = this.#router(index);
     this.#sync(router);
-    // a router that cannot look the key up does not know whether it ran elsewhere.
+    // A router that cannot look up the key does not know whether another router ran the request.
     if (!router.spender.isOpen) return isNonIdempotent(key) ? 'unknown' : 'not-run';
-    const known = router.known.get(key);
-    if (known) return known;
+    const outcome = router.outcomes.get(key);
+    if (outcome) return outcome;
     const ticket: TicketId = { issuer: router.spender.holder, number: key };
-    if (hasTicket(key)) return this.#ticketed(router, ticket, dies);
+    if (hasTicket(key)) return this.#runTicket(router, ticket, dies);
     if (!isNonIdempotent(key)) return this.#run(router, ticket, dies);
-    return this.#claimed(router, ticket) ?? this.#run(router, ticket, dies);
+    return this.#claimBeforeDispatch(router, ticket) ?? this.#run(router, ticket, dies);
   }
 
-  /** A request whose ticket only the issuer dispatches; an orphan's is claimed by the first. */
-  #ticketed(router: ReducerRouter, next: TicketId, dies: DeathPoint): Outcome {
+  /**
+   * Handles a request with a ticket. Only the issuer dispatches it; if the issuer is gone, the first
+   * router that gets a retry claims it.
+   */
+  #runTicket(router: ReducerRouter, next: TicketId, dies: DeathPoint): Outcome {
     const ticket = this.#tickets.get(next.number) ?? next;
     this.#tickets.set(ticket.number, ticket);
     const issuer = this.#routers.find((one) => one.spender.holder === ticket.issuer);
     if (issuer && !issuer.spender.isOpen) return 'unknown';
-    if (issuer) return issuer.known.get(ticket.number) ?? this.#run(issuer, ticket, dies);
+    if (issuer) return issuer.outcomes.get(ticket.number) ?? this.#run(issuer, ticket, dies);
     if (!this.#isUp) return 'unknown';
     const journal = this.store.journals.find((one) => one.holders[ticket.issuer]);
     const entry = journal?.holders[ticket.issuer];
     if (!entry) return 'unknown';
     if (hasInterval(entry.done, ticket.number)) return 'answered';
-    const isOver = entry.state === 'sealed' || entry.state === 'closed';
-    if (!isOver || entry.openIntents.includes(ticket.number)) return 'unknown';
-    return this.#claimed(router, next) ?? this.#run(router, next, dies);
+    const isSealed = entry.state === 'sealed' || entry.state === 'closed';
+    if (!isSealed || entry.openIntents.includes(ticket.number)) return 'unknown';
+    return this.#claimBeforeDispatch(router, next) ?? this.#run(router, next, dies);
   }
 
-  /** Binds the key; nothing when the ticket has it, else what the caller is told. */
-  #claimed(router: ReducerRouter, ticket: TicketId): Outcome | undefined {
-    // a key that cannot be checked may belong to a request that ran elsewhere.
+  /** Claims the key: `undefined` when the ticket owns it, else the outcome for the caller. */
+  #claimBeforeDispatch(router: ReducerRouter, ticket: TicketId): Outcome | undefined {
+    // A key that cannot be checked may belong to a request that another router ran.
     if (!this.#isUp) return 'unknown';
     const key = `key-${ticket.number}`;
     const { page, answer } = claim(this.store.claims, key, { ticket, bodyDigest: '', at: 0 });
@@ -118,15 +121,15 @@
     if (answer.type === 'other-body') return 'unknown';
     const { issuer, number } = answer.ticket;
     const owner = this.#routers.find((one) => one.spender.holder === issuer);
-    const told = owner?.known.get(number);
-    if (told) return told;
+    const outcome = owner?.outcomes.get(number);
+    if (outcome) return outcome;
     const journal = this.store.journals.find((one) => one.holders[issuer]);
     const entry = journal?.holders[issuer];
     if (!entry) return 'unknown';
     if (hasInterval(entry.done, number)) return 'answered';
-    // an owner that lives and refused the key as not run is asked again; here it is taken over.
-    const isOver = entry.state === 'sealed' || entry.state === 'closed';
-    if (entry.openIntents.includes(number) || !isOver) return 'unknown';
+    // A running owner that reported not-run is asked again; the claim of a sealed one is taken over.
+    const isSealed = entry.state === 'sealed' || entry.state === 'closed';
+    if (entry.openIntents.includes(number) || !isSealed) return 'unknown';
     const taken = takeOver(this.store.claims, key, answer.ticket, ticket, 0);
     this.store.claims = taken.page;
     return taken.answer.type === 'own' ? undefined : 'unknown';
@@ -136,7 +139,7 @@
     const key = ticket.number;
     const request = { account: ACCOUNT, workClass: 'w', amount: WORST_CASE };
     const limits = { budgetShare: 1, floor: 0 };
-    this.#seekTokens(router);
+    this.#acquireTokens(router);
     const reserved = router.spender.reserve({ ...request, ...limits });
     if (reserved.isErr) return 'not-run';
     if (isNonIdempotent(key) && !this.#record(router, { type: 'intent', ticket: key })) {
@@ -144,23 +147,23 @@
       router.spender.release(reserved.value);
       return 'not-run';
     }
-    if (dies === 'before-dispatch') return this.#kill(router);
+    if (dies === 'before-dispatch') return this.#crash(router);
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
-    if (dies === 'after-dispatch') return this.#kill(router);
-    const mine = isNonIdempotent(key) || hasTicket(key) || this.#claimsLate(ticket);
-    if (!mine) {
+    if (dies === 'after-dispatch') return this.#crash(router);
+    const isOwner = isNonIdempotent(key) || hasTicket(key) || this.#claimBeforeBill(ticket);
+    if (!isOwner) {
       router.spender.release(reserved.value);
       return this.#isUp && this.#isBilled(key) ? 'answered' : 'unknown';
     }
-    const kept = this.#record(router, { type: 'bill', bill: billOf(ticket) });
+    const isStored = this.#record(router, { type: 'bill', bill: billOf(ticket) });
     router.spender.release(reserved.value);
-    router.known.set(key, kept ? 'answered' : 'unknown');
-    if (dies === 'after-bill') return this.#kill(router);
-    return kept ? 'answered' : 'unknown';
+    router.outcomes.set(key, isStored ? 'answered' : 'unknown');
+    if (dies === 'after-bill') return this.#crash(router);
+    return isStored ? 'answered' : 'unknown';
   }
 
-  /** The claim of an idempotent request, which has to stand before its bill. */
-  #claimsLate(ticket: TicketId): boolean {
+  /** Claims the key of an idempotent request, which must happen before its bill is written. */
+  #claimBeforeBill(ticket: TicketId): boolean {
     if (!this.#isUp) return false;
     const key = `key-${ticket.number}`;
     const { page, answer } = claim(this.store.claims, key, { ticket, bodyDigest: '', at: 0 });
@@ -168,8 +171,8 @@
     if (answer.type !== 'other') return answer.type === 'own';
     const { issuer, number } = answer.ticket;
     const entry = this.store.journals.find((one) => one.holders[issuer])?.holders[issuer];
-    const isOver = entry?.state === 'sealed' || entry?.state === 'closed';
-    if (!entry || !isOver || hasInterval(entry.done, number)) return false;
+    const isSealed = entry?.state === 'sealed' || entry?.state === 'closed';
+    if (!entry || !isSealed || hasInterval(entry.done, number)) return false;
     const taken = takeOver(this.store.claims, key, answer.ticket, ticket, 0);
     this.store.claims = taken.page;
     return taken.answer.type === 'own';
@@ -179,62 +182,62 @@
     return this.store.journals.some((one) => one.bills.some((bill) => bill.ticket === key));
   }
 
-  /** Takes what is lacking: from the pool, the ledger, peers, and at last other data centres. */
-  #seekTokens(router: ReducerRouter): void {
+  /** Covers a shortfall: from the pool, the ledger, the peers, and last from other data centres. */
+  #acquireTokens(router: ReducerRouter): void {
     if (!this.#isUp) return;
     const { spender, dataCentre } = router;
-    const lacking = (): Tokens => WORST_CASE - spender.free(ACCOUNT);
-    const takeLacking = (): void => {
-      if (lacking() <= 0) return;
+    const shortfall = (): Tokens => WORST_CASE - spender.free(ACCOUNT);
+    const takeShortfall = (): void => {
+      if (shortfall() <= 0) return;
       const here = pool(this.store.journal(dataCentre), ACCOUNT);
-      this.store.grant(dataCentre, Math.max(0, lacking() + SPARE - here));
-      this.#record(router, { type: 'take', account: ACCOUNT, amount: lacking() + SPARE });
+      this.store.grant(dataCentre, Math.max(0, shortfall() + SPARE - here));
+      this.#record(router, { type: 'take', account: ACCOUNT, amount: shortfall() + SPARE });
     };
-    takeLacking();
-    if (lacking() <= 0) return;
-    for (const peer of this.#routers) if (peer !== router) this.#giveIdle(peer);
+    takeShortfall();
+    if (shortfall() <= 0) return;
+    for (const peer of this.#routers) if (peer !== router) this.#giveFreeTokens(peer);
     for (const name of DATA_CENTRES) if (name !== dataCentre) this.store.returnPool(name);
-    takeLacking();
+    takeShortfall();
   }
 
-  #giveIdle(peer: ReducerRouter): void {
+  #giveFreeTokens(peer: ReducerRouter): void {
     this.#sync(peer);
     const amount = peer.spender.isOpen ? peer.spender.free(ACCOUNT) : 0;
     if (amount > 0) this.#record(peer, { type: 'give', account: ACCOUNT, amount });
   }
 
-  /** Writes a line; gives whether it is kept. */
+  /** Writes a line; returns whether the journal or a witness has stored it. */
   #record(router: ReducerRouter, change: JournalChange): boolean {
     const line = router.spender.append(change);
     this.#append(router);
-    if (router.spender.appliedSeq < line.seq) this.#keep(router);
-    return Math.max(router.spender.appliedSeq, router.keptSeq) >= line.seq;
+    if (router.spender.appliedSeq < line.seq) this.#storeAtWitness(router);
+    return Math.max(router.spender.appliedSeq, router.storedSeq) >= line.seq;
   }
 
-  /** Sends all lines; after a lost reply they are sent again, and count once. */
+  /** Sends all lines. After a lost reply they are sent again; the journal applies them once. */
   #append(router: ReducerRouter): void {
     const { spender, dataCentre } = router;
     if (!this.#isUp || spender.unapplied.length === 0) return;
-    const isTaken = this.store.append(dataCentre, spender.unapplied);
-    if (isTaken && router.losesReply) this.store.append(dataCentre, spender.unapplied);
-    router.losesReply = false;
+    const isApplied = this.store.append(dataCentre, spender.unapplied);
+    if (isApplied && router.losesNextReply) this.store.append(dataCentre, spender.unapplied);
+    router.losesNextReply = false;
     this.store.read(router);
   }
 
-  #keep(router: ReducerRouter): void {
+  #storeAtWitness(router: ReducerRouter): void {
     const { spender, dataCentre } = router;
     const peers = this.#routers.filter((one) => spender.witnesses.includes(one.spender.holder));
     for (const peer of peers) {
       const lines = spender.unapplied;
-      const kept = storeLines(peer.witness, lines, this.store.journal(dataCentre));
-      if (kept.isErr) continue;
-      peer.witness = kept.value;
-      router.keptSeq = lines.at(-1)?.seq ?? router.keptSeq;
+      const stored = storeLines(peer.witness, lines, this.store.journal(dataCentre));
+      if (stored.isErr) continue;
+      peer.witness = stored.value;
+      router.storedSeq = lines.at(-1)?.seq ?? router.storedSeq;
       return;
     }
   }
 
-  /** What a router finds out when it looks: whether it has been sealed. */
+  /** Reads the journal; a router that has been sealed continues as a new incarnation. */
   #sync(router: ReducerRouter): void {
     if (!this.#isUp) return;
     this.store.read(router);
@@ -244,27 +247,27 @@
       this.store.finishOwn(router);
       router.formerly.push(holder);
       router.spender = new Spender(this.#nextId(router.dataCentre));
-      router.keptSeq = 0;
+      router.storedSeq = 0;
     }
-    this.#tend();
+    this.#maintain();
   }
 
-  #sealAlive({ dataCentre, spender }: ReducerRouter): void {
+  #sealRunning({ dataCentre, spender }: ReducerRouter): void {
     this.#unsealed.push({ dataCentre, holder: spender.holder });
-    this.#tend();
+    this.#maintain();
   }
 
-  #kill(router: ReducerRouter): Outcome {
+  #crash(router: ReducerRouter): Outcome {
     const { dataCentre, spender } = router;
     this.#unsealed.push({ dataCentre, holder: spender.holder });
     const index = this.#routers.indexOf(router);
     this.#routers[index] = createRouter(dataCentre, this.#nextId(dataCentre));
-    this.#tend();
+    this.#maintain();
     return 'no-answer';
   }
 
-  /** While the platform answers: seals, and registers new incarnations. */
-  #tend(): void {
+  /** Seals holders and registers new incarnations while the platform is reachable. */
+  #maintain(): void {
     if (!this.#isUp) return;
     this.#unsealed = this.#unsealed.filter(
       ({ dataCentre, holder }) => !this.store.seal(dataCentre, holder, this.#routers),
@@ -285,7 +288,7 @@
 
   #router(index: number): ReducerRouter {
     const router = this.#routers[index % this.#routers.length];
-    if (!router) throw new LabError('bad-world', `name a router by number, not "${index}".`);
+    if (!router) throw new LabError('bad-world', `there is no router with the index "${index}".`);
     return router;
   }
 
--- a/packages/lab/src/runtime/naive/reducerRouter.ts
+++ b/packages/lab/src/runtime/naive/reducerRouter.ts
@@ -1,20 +1,21 @@
-/** One router of the reducer fleet: the real spender, its witness memory and what it answered. */
+/** One router of the reducer fleet: its `Spender`, its witness state and its answers. */
 
 import type { IncarnationId, WitnessState } from '@flamingocourse/core';
 import { Spender, createWitness } from '@flamingocourse/core';
 
-/** State of a router. A killed one is replaced; a sealed one starts over with its memory. */
+/** State of a router. A crashed router is replaced; a sealed one continues with its memory. */
 export interface ReducerRouter {
   readonly dataCentre: string;
   spender: Spender;
   witness: WitnessState;
   /** Earlier incarnations of this process. */
   formerly: IncarnationId[];
-  /** Highest line that a witness confirmed. */
-  keptSeq: number;
-  losesReply: boolean;
-  /** Keys that it has answered, and those whose end it does not know. */
-  readonly known: Map<number, 'answered' | 'unknown'>;
+  /** Sequence number of the last line that a witness has confirmed to store. */
+  storedSeq: number;
+  /** Whether the reply to its next write gets lost. */
+  losesNextReply: boolean;
+  /** Outcomes of the keys that it has answered or whose result it does not know. */
+  readonly outcomes: Map<number, 'answered' | 'unknown'>;
 }
 
 /** Creates a router's first or next incarnation. */
@@ -24,8 +25,9 @@
     spender: new Spender(id),
     witness: createWitness(),
     formerly: [],
-    keptSeq: 0,
-    losesReply: false,
-    known: new Map(),
+    storedSeq: 0,
+    /** Whether the reply to its next write gets lost. */
+    losesNextReply: false,
+    outcomes: new Map(),
   };
 }
--- a/packages/lab/src/runtime/naive/reducerStore.ts
+++ b/packages/lab/src/runtime/naive/reducerStore.ts
@@ -1,4 +1,4 @@
-/** Platform objects of the reducer fleet, changed by the real reducers only. */
+/** Platform objects of the reducer fleet, which only the production reducers change. */
 
 import type { IncarnationId, JournalLine, JournalState, Tokens } from '@flamingocourse/core';
 import type { ReducerRouter } from './reducerRouter.js';
@@ -25,7 +25,7 @@
 } from '@flamingocourse/core';
 import { LabError } from '../../utils/labError.js';
 
-/** The one client account. */
+/** The only client account. */
 export const ACCOUNT = 'k';
 
 /** Data centres of the fleet. */
@@ -36,7 +36,7 @@
   claims = createClaimPage(0);
   ledger;
   readonly #journals = new Map<string, JournalState>();
-  #receipts = 0;
+  #topUps = 0;
 
   constructor(limit: Tokens) {
     this.ledger = openAccount(createLedgerPage(0), ACCOUNT, limit, 0);
@@ -47,7 +47,7 @@
     return [...this.#journals.values()];
   }
 
-  /** Tokens that no data centre holds. */
+  /** Tokens that are not granted to any data centre. */
   get ungranted(): Tokens {
     const entry = this.ledger.accounts[ACCOUNT];
     return entry ? ungranted(entry) : 0;
@@ -55,13 +55,13 @@
 
   journal(dataCentre: string): JournalState {
     const journal = this.#journals.get(dataCentre);
-    if (!journal) throw new LabError('bad-world', `name a data centre, not "${dataCentre}".`);
+    if (!journal) throw new LabError('bad-world', `unknown data centre "${dataCentre}".`);
     return journal;
   }
 
   topUp(amount: Tokens): void {
-    this.#receipts += 1;
-    const change = { id: `receipt-${this.#receipts}`, amount, by: 'operator', at: 0 };
+    this.#topUps += 1;
+    const change = { id: `receipt-${this.#topUps}`, amount, by: 'operator', at: 0 };
     this.ledger = changeBudget(this.ledger, ACCOUNT, change).unwrapOr(this.ledger);
   }
 
@@ -71,7 +71,7 @@
     this.#set(registerHolder(journal, holder, witnesses, 0, router.formerly));
   }
 
-  /** Applies lines; gives whether the journal took them. */
+  /** Applies lines; returns whether the journal accepted them. */
   append(dataCentre: string, lines: readonly JournalLine[]): boolean {
     const applied = applyLines(this.journal(dataCentre), lines);
     if (applied.isErr) return false;
@@ -79,7 +79,7 @@
     return true;
   }
 
-  /** Raises a data centre's tokens by up to an amount. */
+  /** Grants a data centre up to an amount of tokens. */
   grant(dataCentre: string, amount: Tokens): void {
     this.ledger = grant(this.ledger, ACCOUNT, dataCentre, amount);
     const entry = this.ledger.accounts[ACCOUNT];
@@ -87,7 +87,7 @@
     this.#set(recordGrant(this.journal(dataCentre), ACCOUNT, granted));
   }
 
-  /** Hands the pool of a data centre back to the ledger. */
+  /** Returns the pool of a data centre to the ledger. */
   returnPool(dataCentre: string): void {
     const journal = this.journal(dataCentre);
     const next = startReturn(journal, ACCOUNT, pool(journal, ACCOUNT));
@@ -96,14 +96,14 @@
     this.ledger = mergeReturned(this.ledger, ACCOUNT, dataCentre, returned);
   }
 
-  /** Seals a holder as far as its witnesses answer; gives whether it is sealed. */
+  /** Starts to seal a holder, and finishes if all its witnesses answer; returns whether it is sealed. */
   seal(dataCentre: string, holder: IncarnationId, routers: readonly ReducerRouter[]): boolean {
     const started = startSeal(this.journal(dataCentre), holder);
     if (started.isErr) return false;
     this.#set(started.value);
     const lines: JournalLine[] = [];
-    for (const named of started.value.holders[holder]?.witnesses ?? []) {
-      const id = currentIncarnationOf(started.value, named);
+    for (const witnessId of started.value.holders[holder]?.witnesses ?? []) {
+      const id = currentIncarnationOf(started.value, witnessId);
       const witness = routers.find((router) => router.spender.holder === id);
       if (!witness) return false;
       const fenced = fence(witness.witness, holder);
@@ -115,14 +115,14 @@
     return finished.isOk;
   }
 
-  /** Ends the sealing of a router that lives, with all the lines that it has. */
+  /** Finishes the sealing of a running router with all its unapplied lines. */
   finishOwn({ dataCentre, spender }: ReducerRouter): void {
     const journal = this.journal(dataCentre);
     const finished = finishSeal(journal, spender.holder, spender.unapplied);
     this.#set(finished.unwrapOr(journal));
   }
 
-  /** Shows the journal to a router. */
+  /** Lets a router read the journal. */
   read(router: ReducerRouter): void {
     const journal = this.journal(router.dataCentre);
     router.spender.sync(journal);
--- a/packages/lab/src/runtime/naive/types.ts
+++ b/packages/lab/src/runtime/naive/types.ts
@@ -1,11 +1,11 @@
-/** What happens to a fleet, for a naive version and for the real decisions alike. */
+/** Events and outcomes of a fleet, common to the reference model and the reducer fleet. */
 
 import type { Tokens } from '@flamingocourse/core';
 
-/** Where a router dies while it works on a request. */
+/** Point at which a router crashes while it runs a request. */
 export type DeathPoint = 'none' | 'before-dispatch' | 'after-dispatch' | 'after-bill';
 
-/** A request under a caller's key. What it costs depends on the key, so a retry costs the same. */
+/** A request with a caller's key. Its cost depends on the key, so a retry costs the same. */
 export interface RequestEvent {
   readonly type: 'request';
   readonly router: number;
@@ -13,37 +13,37 @@
   readonly dies: DeathPoint;
 }
 
-/** Anything that may happen. */
+/** An event of a sequence. */
 export type FleetEvent =
   | RequestEvent
   | { readonly type: 'top-up'; readonly amount: Tokens }
-  /** The platform goes out or comes back. */
+  /** The platform becomes unreachable or reachable. */
   | { readonly type: 'platform'; readonly isUp: boolean }
-  /** Peers take a router that only paused for dead, and seal it. */
+  /** Peers consider a suspended router crashed and seal it. */
   | { readonly type: 'seal'; readonly router: number }
   /** The reply to the router's next write is lost. */
   | { readonly type: 'lose-reply'; readonly router: number };
 
-/** What a caller gets; `no-answer` is a connection that ends. */
+/** Outcome for the caller; `no-answer`: the connection ends without an answer. */
 export type Outcome = 'answered' | 'not-run' | 'unknown' | 'no-answer';
 
-/** Whether requests under a key may run once only. */
+/** Whether requests with a key may run at most once. */
 export function isNonIdempotent(key: number): boolean {
   return key % 2 === 1;
 }
 
-/** Tokens that a request may use at most. */
+/** Maximum cost of a request, in tokens. */
 export const WORST_CASE: Tokens = 10;
 
-/** Tokens that requests under a key use. */
+/** Cost of the requests with a key, in tokens. */
 export function costOf(key: number): Tokens {
   return 1 + (key % WORST_CASE);
 }
 
-/** First key whose requests come with a ticket, which only its issuer dispatches, unclaimed. */
-const FIRST_TICKET = 8;
+/** First key whose requests have a ticket. Only its issuer dispatches them, without a claim. */
+const FIRST_TICKET_KEY = 8;
 
-/** Whether requests under a key come with a ticket of the router that got the first of them. */
+/** Whether requests with a key have a ticket, issued by the router that got the first of them. */
 export function hasTicket(key: number): boolean {
-  return key >= FIRST_TICKET;
+  return key >= FIRST_TICKET_KEY;
 }
--- a/packages/lab/src/runtime/prepaidExperiment/prepaidArrivals.ts
+++ b/packages/lab/src/runtime/prepaidExperiment/prepaidArrivals.ts
@@ -1,18 +1,19 @@
-/** Arrivals of prepaid requests, drawn as the users' sheets describe them. */
+/** Random arrivals of prepaid requests, modelled on the load that the users described. */
 
 import type { AccountId, Tokens } from '@flamingocourse/core';
 import type { Random } from '../random.js';
 
-/** One request as it comes in at an instance. */
+/** One request that arrives at an instance. */
 export interface PrepaidArrival {
   /** Seconds from the start. */
   at: number;
   instance: string;
   account: AccountId;
-  /** The most that it may use. */
+  /** Maximum number of tokens that it may use. */
   amount: Tokens;
+  /** Tokens that it uses. */
   used: Tokens;
-  /** Seconds until it is known what it used. */
+  /** Duration in seconds, after which its use is known. */
   seconds: number;
 }
 
@@ -23,13 +24,13 @@
   instances: string[];
 }
 
-/** A kind of request, by the sheet of the deployment with long reports and short notes. */
+/** A kind of request of a deployment with long reports and short notes. Lengths are in tokens. */
 interface Kind {
   perSecond: number;
   promptTokens: number;
   /** Standard deviation of the logarithm of the prompt's length. */
   promptSpread: number;
-  mostOutput: number;
+  maxOutput: number;
   output: number;
   seconds: number;
 }
@@ -39,7 +40,7 @@
     perSecond: 11.6,
     promptTokens: 9_190,
     promptSpread: 0.5,
-    mostOutput: 80,
+    maxOutput: 80,
     output: 52,
     seconds: 1,
   },
@@ -47,26 +48,26 @@
     perSecond: 39.2,
     promptTokens: 826,
     promptSpread: 0.7,
-    mostOutput: 430,
+    maxOutput: 430,
     output: 288,
     seconds: 3.5,
   },
 ];
-/** Accounts with their parts of the load; a few are large. */
+/** Accounts with their fractions of the load; a few are large. */
 const accounts = [0.26, 0.16, 0.13, 0.1, 0.09, 0.08, 0.06, 0.05, 0.04, 0.03].map((weight, at) => ({
   name: `account-${String(at)}`,
   weight,
   at,
 }));
-/** Accounts that send several times their usual for a while, so that little is left of their limits. */
-const hot = { accounts: [2, 3, 5], factor: 5, from: 16, seconds: 6 };
-/** Each so many accounts one comes in at a single instance, as all its callers share a connection. */
+/** Accounts that send `factor` times their usual load for a while, which nearly uses up their limits. */
+const burst = { accounts: [2, 3, 5], factor: 5, from: 16, seconds: 6 };
+/** One in this many accounts uses a single instance, because its callers share a connection. */
 const STICKY_EVERY = 5;
-/** A limit as a multiple of what the account is expected to use. */
+/** Limit of an account as a multiple of its expected use. */
 const LIMIT_FACTOR = 1.3;
 
 /**
- * Draws a load.
+ * Draws a random load.
  *
  * @example
  * const load = drawPrepaidLoad({ seconds: 55, instances: 7 }, createRandom(1));
@@ -78,7 +79,7 @@
   const instances = Array.from({ length: options.instances }, (_, at) => `i${String(at)}`);
   const arrivals = kinds.flatMap((kind) => [
     ...drawKind(kind, options.seconds, instances, random),
-    ...drawHot(kind, instances, random),
+    ...drawBurst(kind, instances, random),
   ]);
   const tokensPerSecond = kinds.reduce((sum, kind) => {
     return sum + kind.perSecond * (kind.promptTokens + kind.output);
@@ -91,14 +92,16 @@
   return { arrivals, limits: new Map(limits), instances };
 }
 
-/** What the hot accounts send beyond their usual. */
-function drawHot(kind: Kind, instances: readonly string[], random: Random): PrepaidArrival[] {
+/** Draws the additional requests of the burst. */
+function drawBurst(kind: Kind, instances: readonly string[], random: Random): PrepaidArrival[] {
   return accounts
-    .filter(({ at }) => hot.accounts.includes(at))
+    .filter(({ at }) => burst.accounts.includes(at))
     .flatMap((account) => {
-      const count = Math.round(kind.perSecond * account.weight * (hot.factor - 1) * hot.seconds);
+      const count = Math.round(
+        kind.perSecond * account.weight * (burst.factor - 1) * burst.seconds,
+      );
       return Array.from({ length: count }, () => {
-        const at = hot.from + random.fraction() * hot.seconds;
+        const at = burst.from + random.fraction() * burst.seconds;
         return drawArrival(kind, account, at, instances, random);
       });
     });
@@ -132,13 +135,13 @@
     at,
     instance: sticky ?? random.pick(instances),
     account: account.name,
-    amount: prompt + kind.mostOutput,
+    amount: prompt + kind.maxOutput,
     used: prompt + kind.output,
     seconds: kind.seconds,
   };
 }
 
-/** A number of the standard normal distribution, by Box and Muller. */
+/** Draws from the standard normal distribution with the Box-Muller transform. */
 function drawNormal(random: Random): number {
   return (
     Math.sqrt(-2 * Math.log(1 - random.fraction())) * Math.cos(2 * Math.PI * random.fraction())
--- a/packages/lab/src/runtime/prepaidExperiment/runPrepaidExperiment.ts
+++ b/packages/lab/src/runtime/prepaidExperiment/runPrepaidExperiment.ts
@@ -1,7 +1,7 @@
 /**
- * Plays the product's own holders, pages and sizing on drawn arrivals, without network: instances that
- * report, are cut off from the store and are killed all at once. It tells in seconds what a played day tells
- * in minutes, and without the chance of everything else that happens there.
+ * Simulates the production holders, pages and sizing on random arrivals, without a network: instances
+ * report, are disconnected from the store and are killed all at once. It takes seconds, while a
+ * simulated day with processes takes minutes, and it is free of the random effects of such a day.
  */
 
 import type { PrepaidReservation, PrepaidSizing, Tokens } from '@flamingocourse/core';
@@ -20,15 +20,15 @@
   wantedGrants,
 } from '@flamingocourse/core';
 
-/** What happens in a run, in seconds from its start. */
+/** Faults of a run, in seconds from its start. */
 export interface PrepaidFaults {
-  /** Spans in which no instance reaches the store. */
+  /** Intervals (`[from, until)`) in which no instance reaches the store. */
   cuts: readonly (readonly [number, number])[];
-  /** When all instances are killed; each begins anew at once. */
+  /** Times at which all instances are killed; each restarts immediately. */
   killsAt: readonly number[];
 }
 
-/** Tokens of requests that fit into their account's limit, and what became of them. */
+/** Tokens of the requests that fit into their account's limit, and of those that were refused. */
 export interface PrepaidExperimentResult {
   asked: Tokens;
   refusedAlone: Tokens;
@@ -41,12 +41,12 @@
 /** All instances of a run share one page. */
 const GROUP_SIZE = 1_000;
 const REPORT_SECONDS = 2;
-/** Silent for longer than any run. */
+/** Longer than any run, so that no instance counts as silent. */
 const ALIVE_MS = 600_000;
-/** Part of a limit that callers may count on. */
-const OWED_PART = 0.97;
+/** Fraction of a limit that callers must be able to use. */
+const GUARANTEED_PART = 0.97;
 
-interface Running {
+interface RunningRequest {
   arrival: PrepaidArrival;
   reservation: PrepaidReservation;
   holder: PrepaidHolder;
@@ -80,9 +80,9 @@
   readonly #sizing: PrepaidSizing;
   readonly #holders = new Map<string, PrepaidHolder>();
   readonly #reportAt = new Map<string, number>();
-  /** What each account has used, with running requests at their most. */
+  /** Use of each account in tokens; a running request counts with its maximum. */
   readonly #used = new Map<string, Tokens>();
-  #running: Running[] = [];
+  #running: RunningRequest[] = [];
   #budgets = createPrepaidBudgets();
   #page = createPrepaidPage();
   #kills = 0;
@@ -100,50 +100,50 @@
 
   take(arrival: PrepaidArrival): void {
     const { at, instance, account, amount } = arrival;
-    this.#passTime(at);
+    this.#advanceTo(at);
     const holder = this.#holder(instance);
     holder.observe(account, amount, at * 1_000);
-    const alone = this.#isCut(at);
+    const isDisconnected = this.#isDisconnected(at);
     let reservation = holder.reserve(account, amount);
-    if (!reservation && !alone) {
+    if (!reservation && !isDisconnected) {
       this.#exchange(instance, at);
       reservation = holder.reserve(account, amount);
     }
     const used = this.#used.get(account) ?? 0;
     const limit = this.#load.limits.get(account) ?? 0;
-    const fits = used + amount <= OWED_PART * limit;
+    const fits = used + amount <= GUARANTEED_PART * limit;
     if (fits) this.result.asked += amount;
     if (reservation) {
       this.#used.set(account, used + amount);
       this.#running.push({ arrival, reservation, holder });
-    } else if (fits && alone) this.result.refusedAlone += amount;
+    } else if (fits && isDisconnected) this.result.refusedAlone += amount;
     else if (fits) this.result.refusedConnected += amount;
   }
 
-  #passTime(now: number): void {
+  #advanceTo(now: number): void {
     this.#settleUntil(now);
     const killAt = this.#faults.killsAt[this.#kills];
     if (killAt !== undefined && killAt <= now) this.#kill();
     for (const [instance, at] of this.#reportAt) {
       if (at > now) continue;
-      if (!this.#isCut(now)) this.#exchange(instance, now);
+      if (!this.#isDisconnected(now)) this.#exchange(instance, now);
       this.#reportAt.set(instance, now + REPORT_SECONDS);
     }
   }
 
   #settleUntil(now: number): void {
-    const isOver = ({ arrival }: Running): boolean => arrival.at + arrival.seconds <= now;
+    const isOver = ({ arrival }: RunningRequest): boolean => arrival.at + arrival.seconds <= now;
     for (const running of this.#running.filter(isOver)) this.#settle(running);
     this.#running = this.#running.filter((running) => !isOver(running));
   }
 
-  #settle({ arrival, reservation, holder }: Running): void {
+  #settle({ arrival, reservation, holder }: RunningRequest): void {
     const { account, amount, used } = arrival;
     holder.settle(reservation, used);
     this.#used.set(account, (this.#used.get(account) ?? 0) - amount + used);
   }
 
-  /** What the instances hold is in doubt once their successors report. */
+  /** Replaces all holders. Tokens of the old ones are in doubt once the new ones report. */
   #kill(): void {
     this.#kills += 1;
     for (const running of this.#running) this.#settle(running);
@@ -160,10 +160,10 @@
     const report = holder.beginReport(this.#page, outlook, now * 1_000);
     if (!report) return;
     this.result.exchanges += 1;
-    const lacking = prepaidShortfalls(this.#page, report);
-    const wanted = wantedGrants(this.#budgets, GROUP, this.#page, lacking, limits);
-    if (wanted.size > 0) {
-      this.#budgets = grantPrepaid(this.#budgets, GROUP, this.#page, wanted, limits);
+    const shortfalls = prepaidShortfalls(this.#page, report);
+    const grants = wantedGrants(this.#budgets, GROUP, this.#page, shortfalls, limits);
+    if (grants.size > 0) {
+      this.#budgets = grantPrepaid(this.#budgets, GROUP, this.#page, grants, limits);
     }
     const granted = takeGrants(this.#page, this.#budgets, GROUP);
     this.#page = returnSurplus(applyReport(granted, report), prepaidOutlook(this.#budgets, limits));
@@ -172,7 +172,7 @@
 
   #holder(instance: string): PrepaidHolder {
     const holder = this.#holders.get(instance);
-    if (!holder) throw new RangeError(`no instance "${instance}"`);
+    if (!holder) throw new RangeError(`unknown instance "${instance}"`);
     return holder;
   }
 
@@ -186,7 +186,7 @@
     });
   }
 
-  #isCut(now: number): boolean {
+  #isDisconnected(now: number): boolean {
     return this.#faults.cuts.some(([from, until]) => now >= from && now < until);
   }
 }
--- a/packages/lab/src/runtime/routingExperiment/classStats.ts
+++ b/packages/lab/src/runtime/routingExperiment/classStats.ts
@@ -1,4 +1,4 @@
-/** Counts and latencies per class of one run. */
+/** Counts and latencies per class of work in one run. */
 
 import type { RefusalReason } from '@flamingocourse/core';
 import type { Histogram } from 'hdr-histogram-js';
@@ -15,7 +15,7 @@
   refusals: Partial<Record<RefusalReason, number>>;
 }
 
-/** Gathers results; requests that came during the warm-up are left out. */
+/** Collects the results of a run. Requests that arrive during the warm-up are ignored. */
 export class ClassStats {
   usefulTokens = 0;
   readonly #warmUpMs: number;
--- a/packages/lab/src/runtime/routingExperiment/measureCapacity.ts
+++ b/packages/lab/src/runtime/routingExperiment/measureCapacity.ts
@@ -1,9 +1,9 @@
-/** Requests a second that the servers of the experiment can answer. */
+/** Measures how many requests per second the servers of the experiment can answer. */
 
 import type { RoutingPolicy, RoutingScenario } from './types.js';
 import { runRoutingExperiment } from './runRoutingExperiment.js';
 
-/** The simplest way for every decision. */
+/** Baseline with the simplest option for every decision. */
 export const naivePolicy: RoutingPolicy = {
   name: 'naive',
   chooser: 'round-robin',
@@ -20,7 +20,8 @@
 const saturation: RoutingScenario = { name: 'saturation', load: 1, fault: 'none' };
 
 /**
- * Measures capacity as the output tokens computed under saturation, by the mean output of a request.
+ * Measures the capacity in requests per second: the output tokens per second under saturation,
+ * divided by the mean output of a request.
  *
  * @example
  * const capacityPerSecond = measureCapacity(1);
@@ -32,5 +33,5 @@
   return producedTokensPerSecond / MEAN_OUTPUT_TOKENS;
 }
 
-/** Mean output of a request over the experiment's classes: 0.25 * 40 + 0.5 * 100 + 0.25 * 275. */
+/** Mean output tokens of a request over the experiment's classes: 0.25 * 40 + 0.5 * 100 + 0.25 * 275. */
 const MEAN_OUTPUT_TOKENS = 128.75;
--- a/packages/lab/src/runtime/routingExperiment/policies.ts
+++ b/packages/lab/src/runtime/routingExperiment/policies.ts
@@ -1,9 +1,9 @@
-/** Scenarios, and policies that differ from the chosen one in a single decision. */
+/** Scenarios, and policies that differ from the production policy in a single decision. */
 
 import type { RoutingPolicy, RoutingScenario } from './types.js';
 import { naivePolicy } from './measureCapacity.js';
 
-/** What the router does. */
+/** The policy of the router in production. */
 export const chosenPolicy: RoutingPolicy = {
   name: 'chosen',
   chooser: 'prefix-affinity',
@@ -16,7 +16,7 @@
   reserve: true,
 };
 
-/** The chosen policy, each with one decision set back, and the naive one. */
+/** The chosen policy, variants of it with one simpler decision each, and the baseline. */
 export const routingPolicies: readonly RoutingPolicy[] = [
   chosenPolicy,
   { ...chosenPolicy, name: 'chooser: power-of-two', chooser: 'power-of-two' },
@@ -32,7 +32,7 @@
   naivePolicy,
 ];
 
-/** Loads and faults of the measurement. */
+/** Combinations of load and fault that are measured. */
 export const routingScenarios: readonly RoutingScenario[] = [
   { name: 'load 0.7', load: 0.7, fault: 'none' },
   { name: 'load 1.0', load: 1, fault: 'none' },
--- a/packages/lab/src/runtime/routingExperiment/requestSource.ts
+++ b/packages/lab/src/runtime/routingExperiment/requestSource.ts
@@ -1,11 +1,11 @@
-/** Seeded requests: classes, prompt prefixes with skew, lengths. */
+/** Seeded source of requests with a class, a prompt prefix of skewed popularity, and lengths. */
 
 import type { RandomSource } from '@flamingocourse/core';
 import type { ExperimentClass } from './types.js';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** One request of a caller. */
+/** One request of a caller. Lengths are in tokens, times in milliseconds. */
 export interface ExperimentRequest {
   id: number;
   workClass: ExperimentClass;
@@ -16,7 +16,7 @@
   outputTokens: number;
 }
 
-/** Classes of the experiment, after Svifvakt's kinds of work. */
+/** Classes of the experiment, modelled on those of the `svifvakt` deployment. */
 export const experimentClasses: readonly ExperimentClass[] = [
   {
     name: 'launch-entry',
@@ -48,19 +48,19 @@
 ];
 
 const PREFIXES = 40;
-/** Exponent of the prefixes' popularity. */
+/** Exponent of the Zipf distribution of the prefixes' popularity. */
 const PREFIX_SKEW = 0.8;
 const PREFIX_TOKENS = 600;
 const MIN_PROMPT = 40;
 const MAX_PROMPT = 200;
 
-/** A generator of numbers from 0 to 1 for one purpose. */
+/** Creates a seeded generator of numbers from 0 up to, not including, 1. */
 export function createRandom(seed: number): RandomSource {
   const generator = xoroshiro128plus(seed);
   return () => uniformFloat64(generator);
 }
 
-/** Draws requests; the same seed gives the same requests whatever the policy does. */
+/** Generates requests. The same seed gives the same requests for every policy. */
 export class RequestSource {
   readonly #random: RandomSource;
   readonly #popularity: number[];
@@ -93,7 +93,7 @@
     };
   }
 
-  /** Picks one of `count` routers, as the platform's balancer does. */
+  /** Picks one of `count` routers at random, like the platform's load balancer. */
   pickRouter(count: number): number {
     return Math.floor(this.#random() * count);
   }
@@ -104,7 +104,7 @@
     const last = experimentClasses.at(-1);
     if (found) return found;
     if (last) return last;
-    throw new RangeError('the experiment needs at least one class');
+    throw new RangeError('the routing experiment needs at least one class');
   }
 
   #pickPrefix(): number {
--- a/packages/lab/src/runtime/routingExperiment/routerModel.ts
+++ b/packages/lab/src/runtime/routingExperiment/routerModel.ts
@@ -1,4 +1,4 @@
-/** One router in virtual time, built on the real decisions of core. */
+/** Model of a router in virtual time, built on the decision logic of core. */
 
 import type {
   AttemptPlan,
@@ -35,8 +35,8 @@
   spendRetry,
 } from '@flamingocourse/core';
 
-/** What a router needs from its surroundings. */
-export interface RouterSurroundings {
+/** What a router model needs from the simulation. */
+export interface RouterEnvironment {
   loop: VirtualLoop;
   stats: ClassStats;
   random: RandomSource;
@@ -45,28 +45,28 @@
   cancel: (router: RouterModel, server: ServerId, job: ServerJob) => void;
 }
 
-/** A request at its router. */
+/** A request that a router has received and not closed. */
 interface PendingRequest {
   request: ExperimentRequest;
   deadline: number;
   plan: AttemptPlan;
   made: number;
   tried: Set<ServerId>;
-  /** Whether the caller has its final answer. */
+  /** Whether the caller has got its answer or refusal. */
   closed: boolean;
 }
 
 const MAX_QUEUE = 256;
 const MAX_ATTEMPTS = 3;
-/** Multiple of the median first-token time at which slowness ejects, where that is on. */
+/** With `slowEjection`, a server is ejected at this multiple of the median first-token time. */
 const SLOW_FACTOR = 3;
 const EXPIRE_EVERY_MS = 50;
 const priorities = { first: 0, standard: 1, background: 2 } as const;
 
-/** A router with its pool, queue and retry budget. */
+/** A router with its server pool, admission queue and retry budget. */
 export class RouterModel {
   readonly dataCentre: string;
-  readonly #around: RouterSurroundings;
+  readonly #environment: RouterEnvironment;
   readonly #pool: ServerPool;
   readonly #queue: AdmissionQueue;
   readonly #chooser: ServerChooser;
@@ -81,37 +81,41 @@
     policy: RoutingPolicy,
     declaredConcurrency: number,
     servers: BackendServer[],
-    around: RouterSurroundings,
+    environment: RouterEnvironment,
   ) {
     this.dataCentre = dataCentre;
-    this.#around = around;
+    this.#environment = environment;
     this.#chooser = createServerChooser(policy.chooser);
     this.#queue = new AdmissionQueue({
       maxSize: MAX_QUEUE,
       discipline: createQueueDiscipline(policy.discipline),
       refuseUnreachable: policy.refuseUnreachable,
     });
-    const never = { maxFailuresInRow: Infinity, maxFailureShare: Infinity, slowFactor: Infinity };
+    const noEjection = {
+      maxFailuresInRow: Infinity,
+      maxFailureShare: Infinity,
+      slowFactor: Infinity,
+    };
     const slow = policy.slowEjection ? { slowFactor: SLOW_FACTOR } : {};
     this.#pool = new ServerPool({
       dataCentre,
       concurrencyPerServer: declaredConcurrency,
       limitKind: policy.limit,
       sharers: policy.fairPart ? sharers : Infinity,
-      health: policy.ejection ? slow : never,
+      health: policy.ejection ? slow : noEjection,
     });
     this.#reserve = policy.reserve ? new ImportanceReserve() : undefined;
-    this.#pool.applyList(servers, around.loop.now);
+    this.#pool.applyList(servers, environment.loop.now);
     this.#expireRegularly();
   }
 
   reportLoad(id: ServerId, report: LoadReport): void {
-    this.#pool.reportLoad(id, report, this.#around.loop.now);
-    this.#pump();
+    this.#pool.reportLoad(id, report, this.#environment.loop.now);
+    this.#dispatchWaiting();
   }
 
   receive(request: ExperimentRequest): void {
-    const { now } = this.#around.loop;
+    const { now } = this.#environment.loop;
     const deadline = request.arrivedAt + request.workClass.completeMs;
     const typicalMs = this.#serviceTimes.get(request.workClass.name)?.meanMs ?? 0;
     const plan = resolveAttemptPlan(
@@ -122,11 +126,11 @@
     const pending = { request, deadline, plan, made: 0, tried: new Set<ServerId>(), closed: false };
     this.#pending.set(request.id, pending);
     this.#enqueue(pending);
-    this.#pump();
+    this.#dispatchWaiting();
   }
 
   #enqueue(pending: PendingRequest): void {
-    const { now } = this.#around.loop;
+    const { now } = this.#environment.loop;
     const { id, workClass, arrivedAt } = pending.request;
     const entry = {
       id,
@@ -136,28 +140,28 @@
       serviceMs: cautiousServiceMs(this.#serviceTimes.get(workClass.name), now),
     };
     const { shed } = this.#queue.offer(entry, now);
-    for (const given of shed) this.#refuse(given.entry.id, given.reason);
+    for (const item of shed) this.#refuse(item.entry.id, item.reason);
   }
 
-  #pump(): void {
-    const { now } = this.#around.loop;
+  #dispatchWaiting(): void {
+    const { now } = this.#environment.loop;
     for (;;) {
-      const { entry, shed } = this.#queue.take(now, (importance, owed) => {
-        return this.#pool.hasRoom(this.#ruleFor(importance, owed), now);
+      const { entry, shed } = this.#queue.take(now, (importance, isMinimumShareTurn) => {
+        return this.#pool.hasRoom(this.#ruleFor(importance, isMinimumShareTurn), now);
       });
-      for (const given of shed) this.#refuse(given.entry.id, given.reason);
+      for (const item of shed) this.#refuse(item.entry.id, item.reason);
       if (!entry) return;
       const pending = this.#pending.get(entry.id);
       if (pending) this.#dispatch(pending);
     }
   }
 
-  #ruleFor(importance: Importance, owed: boolean): PlacementRule {
-    return this.#reserve?.ruleFor(importance, owed) ?? { keptFree: 0, extra: 0 };
+  #ruleFor(importance: Importance, isMinimumShareTurn: boolean): PlacementRule {
+    return this.#reserve?.ruleFor(importance, isMinimumShareTurn) ?? { keptFree: 0, extra: 0 };
   }
 
   #dispatch(pending: PendingRequest): void {
-    const { loop, random } = this.#around;
+    const { loop, random } = this.#environment;
     const choice = { prefixHash: mix32(pending.request.prefix + 1) };
     const { extra } = this.#ruleFor(pending.request.workClass.importance, false);
     const server =
@@ -175,36 +179,36 @@
     }
     pending.made += 1;
     pending.tried.add(server.id);
-    new Attempt(this.#around, this, this.#pool, pending, server.id, (end) => {
+    new Attempt(this.#environment, this, this.#pool, pending, server.id, (end) => {
       this.#ended(pending, end);
     }).start();
   }
 
   #ended(pending: PendingRequest, end: AttemptOutcome): void {
-    const { loop, stats } = this.#around;
+    const { loop, stats } = this.#environment;
     if (end.type === 'done') {
       const { request } = pending;
       const firstTokenMs = end.firstTokenAt - request.arrivedAt;
-      this.#learn(request, end.serviceMs, firstTokenMs);
+      this.#recordAnswer(request, end.serviceMs, firstTokenMs);
       this.#close(pending);
       stats.answered(request, firstTokenMs);
     } else {
       this.#retryOrRefuse(pending, end.provablyNotRun, loop.now);
     }
-    this.#pump();
+    this.#dispatchWaiting();
   }
 
   #retryOrRefuse(pending: PendingRequest, provablyNotRun: boolean, now: number): void {
     const { plan, deadline, made } = pending;
     const failure = { made, provablyNotRun };
     const decision = decideRetry({ idempotent: true, plan, deadline }, failure, now);
-    const left = decision.type === 'retry' ? spendRetry(this.#retries) : undefined;
-    if (!left) {
+    const budgetAfter = decision.type === 'retry' ? spendRetry(this.#retries) : undefined;
+    if (!budgetAfter) {
       const reason = decision.type === 'refuse' ? decision.reason : 'backend-failed';
       this.#refuse(pending.request.id, reason);
       return;
     }
-    this.#retries = left;
+    this.#retries = budgetAfter;
     this.#enqueue(pending);
   }
 
@@ -212,7 +216,7 @@
     const pending = this.#pending.get(id);
     if (!pending) return;
     this.#close(pending);
-    this.#around.stats.refused(pending.request, reason);
+    this.#environment.stats.refused(pending.request, reason);
   }
 
   #close(pending: PendingRequest): void {
@@ -220,18 +224,18 @@
     this.#pending.delete(pending.request.id);
   }
 
-  #learn(request: ExperimentRequest, serviceMs: number, firstTokenMs: number): void {
-    const { now } = this.#around.loop;
+  #recordAnswer(request: ExperimentRequest, serviceMs: number, firstTokenMs: number): void {
+    const { now } = this.#environment.loop;
     const { name, importance, firstTokenMs: targetMs } = request.workClass;
     this.#serviceTimes.set(name, recordServiceTime(this.#serviceTimes.get(name), serviceMs, now));
     this.#reserve?.sample(importance, firstTokenMs > targetMs);
   }
 
   #expireRegularly(): void {
-    this.#around.loop.after(EXPIRE_EVERY_MS, () => {
-      const { now } = this.#around.loop;
-      for (const given of this.#queue.expire(now)) this.#refuse(given.entry.id, given.reason);
-      this.#pump();
+    this.#environment.loop.after(EXPIRE_EVERY_MS, () => {
+      const { now } = this.#environment.loop;
+      for (const item of this.#queue.expire(now)) this.#refuse(item.entry.id, item.reason);
+      this.#dispatchWaiting();
       this.#expireRegularly();
     });
   }
@@ -241,9 +245,9 @@
   | { type: 'done'; firstTokenAt: number; serviceMs: number }
   | { type: 'failed'; provablyNotRun: boolean };
 
-/** One attempt; ends exactly once, by its answer, its failure or its timeout. */
+/** One attempt. It ends exactly once: with an answer, a failure or a timeout. */
 class Attempt {
-  readonly #around: RouterSurroundings;
+  readonly #environment: RouterEnvironment;
   readonly #router: RouterModel;
   readonly #pool: ServerPool;
   readonly #pending: PendingRequest;
@@ -255,14 +259,14 @@
   #ended = false;
 
   constructor(
-    around: RouterSurroundings,
+    environment: RouterEnvironment,
     router: RouterModel,
     pool: ServerPool,
     pending: PendingRequest,
     server: ServerId,
     onEnd: (end: AttemptOutcome) => void,
   ) {
-    this.#around = around;
+    this.#environment = environment;
     this.#router = router;
     this.#pool = pool;
     this.#pending = pending;
@@ -271,7 +275,7 @@
   }
 
   start(): void {
-    const { loop } = this.#around;
+    const { loop } = this.#environment;
     const { request, plan, deadline } = this.#pending;
     this.#startedAt = loop.now;
     this.#number = this.#pool.dispatch(this.#server, loop.now);
@@ -291,10 +295,10 @@
         this.#fail('failed');
       },
     };
-    this.#around.submit(this.#router, this.#server, job);
+    this.#environment.submit(this.#router, this.#server, job);
     loop.after(Math.min(plan.attemptTimeoutMs, deadline - loop.now), () => {
       if (this.#ended) return;
-      this.#around.cancel(this.#router, this.#server, job);
+      this.#environment.cancel(this.#router, this.#server, job);
       this.#fail('timeout');
     });
   }
@@ -302,7 +306,7 @@
   #done(): void {
     if (this.#ended) return;
     this.#ended = true;
-    const { now } = this.#around.loop;
+    const { now } = this.#environment.loop;
     const firstTokenAt = this.#firstTokenAt ?? now;
     const firstTokenMs = firstTokenAt - this.#startedAt;
     const targetMs = this.#pending.request.workClass.firstTokenMs;
@@ -313,7 +317,7 @@
   #fail(end: 'failed' | 'timeout'): void {
     if (this.#ended) return;
     this.#ended = true;
-    const { now } = this.#around.loop;
+    const { now } = this.#environment.loop;
     const targetMs = this.#pending.request.workClass.firstTokenMs;
     this.#pool.settle(this.#number, { end, targetMs }, now);
     this.#onEnd({ type: 'failed', provablyNotRun: false });
--- a/packages/lab/src/runtime/routingExperiment/routingReport.ts
+++ b/packages/lab/src/runtime/routingExperiment/routingReport.ts
@@ -1,11 +1,11 @@
-/** Lays the routing measurement out as a report, one table for each scenario. */
+/** Renders the routing measurement as a report with one table per scenario. */
 
 import type { ReportDocument, ReportTable } from '../../types/report.js';
 import type { RoutingMeasureRow } from './types.js';
 
 const PERCENT = 100;
 
-/** Builds the document that `npm run report` shows. */
+/** Creates the document that `npm run report` shows. */
 export function createRoutingReport(
   fact: string,
   rows: readonly RoutingMeasureRow[],
--- a/packages/lab/src/runtime/routingExperiment/runRoutingExperiment.ts
+++ b/packages/lab/src/runtime/routingExperiment/runRoutingExperiment.ts
@@ -1,7 +1,10 @@
-/** One run of the routing experiment: servers and requests in virtual time, decisions from core. */
+/**
+ * One run of the routing experiment: a simulation of servers and requests in virtual time. Routers
+ * decide with the logic of core.
+ */
 
 import type { BackendServer, ServerId } from '@flamingocourse/core';
-import type { RouterSurroundings } from './routerModel.js';
+import type { RouterEnvironment } from './routerModel.js';
 import type { ServerJob } from './serverModel.js';
 import type { RoutingExperimentOptions, RoutingExperimentResult } from './types.js';
 import { ClassStats } from './classStats.js';
@@ -10,7 +13,7 @@
 import { BATCH_SLOTS, ServerModel } from './serverModel.js';
 import { VirtualLoop } from './virtualLoop.js';
 
-/** Data centres after Svifvakt's today: 7 routers, 8 model servers. */
+/** Data centres modelled on the `svifvakt` deployment: 7 routers, 8 model servers. */
 const dataCentres = [
   { id: 'dc-a', routers: 3, servers: 3 },
   { id: 'dc-b', routers: 2, servers: 3 },
@@ -19,15 +22,15 @@
 
 const DEFAULT_SECONDS = 90;
 const WARM_UP_MS = 5_000;
-/** Longest deadline of a request; after it, all are answered or refused. */
-const RUN_OUT_MS = 45_000;
+/** Longer than any deadline of a request, so that all are answered or refused at the end. */
+const DRAIN_MS = 45_000;
 const FAULT_FROM_MS = 15_000;
 const FAULT_UNTIL_MS = 60_000;
 const SLOW_FACTOR = 4;
-/** The data centre and server that the faults strike. */
-const faultyCentre = 'dc-b';
+/** Data centre and server that the faults affect. */
+const faultyDataCentre = 'dc-b';
 const faultyServer = 'dc-b/s1';
-/** One way between data centres, in milliseconds. */
+/** One-way latency between data centres, in milliseconds. */
 const NETWORK_MS = 0.5;
 const LOAD_POLL_MS = 1_000;
 /** Age of a load report when it arrives, in milliseconds. */
@@ -53,9 +56,9 @@
   readonly #source: RequestSource;
   readonly #servers = new Map<ServerId, { model: ServerModel; dataCentre: string }>();
   readonly #routers: RouterModel[] = [];
-  /** Attempts as sent over the network, by the router's own view of them. */
-  readonly #sent = new WeakMap<ServerJob, ServerJob>();
-  #cut = false;
+  /** Jobs as the server gets them, by the job of the router. */
+  readonly #networkJobs = new WeakMap<ServerJob, ServerJob>();
+  #partitioned = false;
   #producedTokens = 0;
 
   constructor(options: RoutingExperimentOptions) {
@@ -63,25 +66,25 @@
     this.#source = new RequestSource(options.seed);
     const listed = this.#createServers();
     const concurrency = options.scenario.declaredConcurrency ?? BATCH_SLOTS;
-    const around: RouterSurroundings = {
+    const environment: RouterEnvironment = {
       loop: this.#loop,
       stats: this.#stats,
       random: createRandom(options.seed + 1_000_003),
       submit: (router, server, job) => {
         this.#overNetwork(router, server, (model) => {
-          model.submit(this.#withNetwork(router, server, job));
+          model.submit(this.#viaNetwork(router, server, job));
         });
       },
       cancel: (router, server, job) => {
         this.#overNetwork(router, server, (model) => {
-          model.cancel(this.#sent.get(job) ?? job);
+          model.cancel(this.#networkJobs.get(job) ?? job);
         });
       },
     };
     for (const { id, routers } of dataCentres) {
       for (let i = 0; i < routers; i += 1) {
         const { policy } = options;
-        this.#routers.push(new RouterModel(id, routers, policy, concurrency, listed, around));
+        this.#routers.push(new RouterModel(id, routers, policy, concurrency, listed, environment));
       }
     }
   }
@@ -89,11 +92,11 @@
   start(endMs: number): void {
     this.#scheduleFault();
     this.#pollLoad();
-    this.#arrive(endMs);
+    this.#scheduleArrivals(endMs);
     this.#loop.runUntil(endMs);
     this.#producedTokens = this.#sum((model) => model.producedTokens);
-    // requests that came last still get their answers or refusals.
-    this.#loop.runUntil(endMs + RUN_OUT_MS);
+    // The last requests still get their answers or refusals.
+    this.#loop.runUntil(endMs + DRAIN_MS);
   }
 
   result(seconds: number): RoutingExperimentResult {
@@ -127,14 +130,14 @@
     );
   }
 
-  #arrive(endMs: number): void {
+  #scheduleArrivals(endMs: number): void {
     const rate = this.#options.capacityPerSecond * this.#options.scenario.load;
     this.#loop.after(this.#source.nextGapMs(rate), () => {
       if (this.#loop.now >= endMs) return;
       const request = this.#source.next(this.#loop.now);
       this.#stats.offered(request);
       this.#routers[this.#source.pickRouter(this.#routers.length)]?.receive(request);
-      this.#arrive(endMs);
+      this.#scheduleArrivals(endMs);
     });
   }
 
@@ -160,28 +163,28 @@
     this.#loop.after(FAULT_FROM_MS, () => {
       if (fault === 'slow-server') server.slowFactor = SLOW_FACTOR;
       if (fault === 'crashed-server') server.crash();
-      if (fault === 'cut-data-centre') this.#cut = true;
+      if (fault === 'cut-data-centre') this.#partitioned = true;
     });
     this.#loop.after(FAULT_UNTIL_MS, () => {
       server.slowFactor = 1;
       server.up = true;
-      this.#cut = false;
+      this.#partitioned = false;
     });
   }
 
-  /** Runs an action at a server after the way there; a cut swallows it silently. */
+  /** Runs an action at a server after the network latency; a partition drops it silently. */
   #overNetwork(router: RouterModel, id: ServerId, action: (model: ServerModel) => void): void {
     const server = this.#servers.get(id);
     if (!server) return;
-    this.#loop.after(this.#wayMs(router, id), () => {
+    this.#loop.after(this.#latencyMs(router, id), () => {
       if (this.#reachable(router.dataCentre, id)) action(server.model);
     });
   }
 
-  /** Wraps a job so that its events take the way back, or get lost on it. */
-  #withNetwork(router: RouterModel, id: ServerId, job: ServerJob): ServerJob {
+  /** Wraps a job so that its events arrive after the network latency, or are lost in a partition. */
+  #viaNetwork(router: RouterModel, id: ServerId, job: ServerJob): ServerJob {
     const back = (event: () => void) => () => {
-      this.#loop.after(this.#wayMs(router, id), () => {
+      this.#loop.after(this.#latencyMs(router, id), () => {
         if (this.#reachable(router.dataCentre, id)) event();
       });
     };
@@ -191,16 +194,18 @@
       onDone: back(job.onDone),
       onFailed: back(job.onFailed),
     };
-    this.#sent.set(job, sent);
+    this.#networkJobs.set(job, sent);
     return sent;
   }
 
-  #wayMs(router: RouterModel, id: ServerId): number {
+  #latencyMs(router: RouterModel, id: ServerId): number {
     return this.#servers.get(id)?.dataCentre === router.dataCentre ? 0 : NETWORK_MS;
   }
 
   #reachable(from: string, id: ServerId): boolean {
     const to = this.#servers.get(id)?.dataCentre;
-    return !this.#cut || from === to || (from !== faultyCentre && to !== faultyCentre);
+    return (
+      !this.#partitioned || from === to || (from !== faultyDataCentre && to !== faultyDataCentre)
+    );
   }
 }
--- a/packages/lab/src/runtime/routingExperiment/runRoutingMeasure.ts
+++ b/packages/lab/src/runtime/routingExperiment/runRoutingMeasure.ts
@@ -9,7 +9,7 @@
 
 /** Options of the measurement. */
 export interface RoutingMeasureOptions {
-  /** Each seed is one run of every policy in every scenario. */
+  /** Every policy runs in every scenario once per seed. */
   seeds: readonly number[];
   /** Prints results as JSON instead of tables. @default false */
   json?: boolean;
--- a/packages/lab/src/runtime/routingExperiment/serverModel.ts
+++ b/packages/lab/src/runtime/routingExperiment/serverModel.ts
@@ -1,15 +1,15 @@
-/** Queue model of one model server: continuous batching, prefix cache, lagging load. */
+/** Queueing model of a model server with continuous batching and a prefix cache. */
 
 import type { LoadReport } from '@flamingocourse/core';
 import type { VirtualLoop } from './virtualLoop.js';
 
-/** One attempt as the server sees it. */
+/** One attempt, as a job of the server. */
 export interface ServerJob {
   prefix: number;
   prefixTokens: number;
   promptTokens: number;
   outputTokens: number;
-  /** Lower runs first. */
+  /** Jobs with a lower value run first. */
   priority: number;
   onFirstToken: () => void;
   onDone: () => void;
@@ -21,23 +21,23 @@
   produced: number;
 }
 
-/** Requests in one batch of a well declared server. */
+/** Default batch size, and the concurrency that is declared for a server by default. */
 export const BATCH_SLOTS = 8;
-/** Requests whose state fits into the server's memory; beyond it every step slows down. */
+/** Number of requests whose state fits into memory; with more of them every step is slower. */
 const MEMORY_SLOTS = 8;
-/** How much a step slows down beyond memory: its time grows with this power of the excess. */
+/** Step time beyond memory grows with this power of running requests / MEMORY_SLOTS. */
 const THRASH_POWER = 1.5;
 /** Step time with one request in the batch, in milliseconds. */
 const STEP_MS = 12;
-/** Part of the step time that each further request adds. */
+/** Fraction of the step time that each further request adds. */
 const STEP_GROWTH = 0.05;
 const PREFILL_MS_PER_TOKEN = 0.25;
-/** Prefixes that fit into the cache. */
+/** Number of prefixes that fit into the cache. */
 const CACHED_PREFIXES = 10;
 
-/** A model server in virtual time; every step gives each running request one token. */
+/** A model server in virtual time. Every step computes one token of each running request. */
 export class ServerModel {
-  /** Multiplies all times; above 1 the server is slow. */
+  /** Factor on all times; above 1 the server is slow. */
   slowFactor = 1;
   up = true;
   producedTokens = 0;
@@ -48,7 +48,7 @@
   #running: RunningJob[] = [];
   #cache: number[] = [];
   #stepping = false;
-  #life = 0;
+  #incarnation = 0;
 
   readonly #slots: number;
 
@@ -66,8 +66,8 @@
       job.onFailed();
       return;
     }
-    const behind = this.#waiting.findIndex((other) => other.priority > job.priority);
-    this.#waiting.splice(behind < 0 ? this.#waiting.length : behind, 0, job);
+    const index = this.#waiting.findIndex((other) => other.priority > job.priority);
+    this.#waiting.splice(index < 0 ? this.#waiting.length : index, 0, job);
     this.#startStep();
   }
 
@@ -80,7 +80,7 @@
   crash(): void {
     const lost = [...this.#running.map((running) => running.job), ...this.#waiting];
     this.up = false;
-    this.#life += 1;
+    this.#incarnation += 1;
     this.#running = [];
     this.#waiting.length = 0;
     this.#cache = [];
@@ -96,13 +96,13 @@
     const count = this.#running.length;
     const excess = Math.max(1, count / MEMORY_SLOTS) ** THRASH_POWER;
     const decodeMs = STEP_MS * (1 + STEP_GROWTH * (count - 1)) * excess;
-    const life = this.#life;
+    const incarnation = this.#incarnation;
     this.#loop.after((decodeMs + prefillMs) * this.slowFactor, () => {
-      if (life === this.#life) this.#endStep();
+      if (incarnation === this.#incarnation) this.#endStep();
     });
   }
 
-  /** Fills free places of the batch; returns the time to compute the new prompts. */
+  /** Fills the batch from the queue; returns the prefill time of the new prompts in milliseconds. */
   #admit(): number {
     let prefillMs = 0;
     while (this.#running.length < this.#slots) {
@@ -130,7 +130,7 @@
     this.#startStep();
   }
 
-  /** Looks a prefix up and makes it the most recently used. */
+  /** Looks up a prefix and marks it as the most recently used. */
   #lookUp(prefix: number): boolean {
     const known = this.#cache.includes(prefix);
     this.#cache = [prefix, ...this.#cache.filter((other) => other !== prefix)];
--- a/packages/lab/src/runtime/routingExperiment/types.ts
+++ b/packages/lab/src/runtime/routingExperiment/types.ts
@@ -8,21 +8,21 @@
   ServerChooserName,
 } from '@flamingocourse/core';
 
-/** Decisions under test; each can be set back to the simpler way. */
+/** Decisions under test; each has a simpler alternative. */
 export interface RoutingPolicy {
   name: string;
   chooser: ServerChooserName;
   discipline: QueueDisciplineName;
   limit: ConcurrencyLimitKind;
-  /** Whether hopeless requests are refused when they come. */
+  /** Whether requests that cannot meet their deadline are refused on arrival. */
   refuseUnreachable: boolean;
   /** Whether failing and slow servers are ejected. */
   ejection: boolean;
-  /** Whether slowness alone ejects; only with `ejection`. */
+  /** Whether slowness alone ejects a server; only with `ejection`. */
   slowEjection: boolean;
-  /** Whether each router keeps a fair part of a full server. */
+  /** Whether each router may use its fair share of a server that is full. */
   fairPart: boolean;
-  /** Whether places are kept free for more important requests. */
+  /** Whether capacity is reserved for more important requests. */
   reserve: boolean;
 }
 
@@ -32,12 +32,12 @@
 /** Load and fault of one run. */
 export interface RoutingScenario {
   name: string;
-  /** Offered load as a part of the measured capacity. */
+  /** Offered load as a fraction of the measured capacity. */
   load: number;
   fault: ScenarioFault;
-  /** Requests at once that operators declared for each server. @default 8, the batch size */
+  /** Declared number of concurrent requests per server. @default 8, the batch size */
   declaredConcurrency?: number;
-  /** Requests that a server takes into its batch, more than its memory holds. @default 8 */
+  /** Batch size of a server; above 8 it exceeds the server's memory. @default 8 */
   batchSlots?: number;
 }
 
@@ -45,7 +45,7 @@
 export interface ExperimentClass {
   name: string;
   importance: Importance;
-  /** Part of all requests. */
+  /** Fraction of all requests. */
   share: number;
   firstTokenMs: number;
   completeMs: number;
@@ -58,7 +58,7 @@
   seed: number;
   policy: RoutingPolicy;
   scenario: RoutingScenario;
-  /** Requests a second at load 1; measured by {@link measureCapacity}. */
+  /** Requests per second at load 1; measured by {@link measureCapacity}. */
   capacityPerSecond: number;
   /** Virtual seconds. @default 90 */
   seconds?: number;
@@ -68,9 +68,9 @@
 export interface ClassResult {
   workClass: string;
   offered: number;
-  /** Whole answers before the deadline. */
+  /** Number of complete answers before the deadline. */
   answered: number;
-  /** Part of all offered requests whose first token met the target and that were answered. */
+  /** Fraction of the offered requests that were answered with the first token within the target. */
   targetMet: number;
   p50: number;
   p95: number;
@@ -84,15 +84,15 @@
   policy: string;
   scenario: string;
   classes: ClassResult[];
-  /** Output tokens of whole answers, per virtual second. */
+  /** Output tokens of complete answers per virtual second. */
   usefulTokensPerSecond: number;
-  /** All output tokens that servers computed, those of given-up answers included. */
+  /** Output tokens per virtual second that servers computed, including those of abandoned answers. */
   producedTokensPerSecond: number;
-  /** Part of prompt prefixes found in a server's cache. */
+  /** Fraction of prompt prefixes that were found in a server's cache. */
   cacheHits: number;
 }
 
-/** Mean over the seeds of one policy in one scenario. */
+/** Mean over all seeds for one policy in one scenario. */
 export interface RoutingMeasureRow {
   policy: string;
   scenario: string;
--- a/packages/lab/src/runtime/routingExperiment/virtualLoop.ts
+++ b/packages/lab/src/runtime/routingExperiment/virtualLoop.ts
@@ -1,4 +1,4 @@
-/** Event loop in virtual time. */
+/** Event loop of a discrete-event simulation in virtual time. */
 
 interface TimedEvent {
   at: number;
@@ -7,7 +7,7 @@
 }
 
 /**
- * Runs callbacks in the order of their virtual times; those of equal time in the order of adding.
+ * Runs callbacks in the order of their virtual times, and in insertion order for equal times.
  *
  * @example
  * const loop = new VirtualLoop();
@@ -19,11 +19,13 @@
   readonly #heap: TimedEvent[] = [];
   #order = 0;
 
+  /** Schedules a callback; a negative delay counts as 0. */
   after(ms: number, run: () => void): void {
     this.#order += 1;
     this.#push({ at: this.now + Math.max(0, ms), order: this.#order, run });
   }
 
+  /** Runs all callbacks up to and including a time, in milliseconds. */
   runUntil(end: number): void {
     for (;;) {
       const next = this.#heap[0];
