--- a/packages/lab/src/runtime/answerCheck.ts
+++ b/packages/lab/src/runtime/answerCheck.ts
@@ -1,12 +1,12 @@
-/** Compares an answer with the one that the caller must get. */
+/** Compares an answer with the expected one. */
 
 import { splitWords } from './answerText.js';
 
-/** What is wrong with an answer, the gravest first: another's words weigh more than missing ones. */
+/** Faults of an answer in order of severity: foreign words are worse than missing ones. */
 export type AnswerVerdict = 'mixed' | 'repeat' | 'reordered' | 'gap' | 'cut' | 'whole';
 
 /**
- * Judges an answer against the expected text.
+ * Compares an answer with the expected text and returns its most severe fault.
  *
  * @example
  * checkAnswer('a.0 b.1 c.2', 'a.0 c.2'); // 'gap'
@@ -14,31 +14,31 @@
 export function checkAnswer(expected: string, received: string): AnswerVerdict {
   if (received === expected) return 'whole';
   if (expected.startsWith(received)) return 'cut';
-  const places = placesOf(splitWords(expected), splitWords(received));
-  if (places.includes(-1)) return 'mixed';
-  if (new Set(places).size < places.length) return 'repeat';
-  if (places.some((place, index) => index > 0 && place < (places[index - 1] ?? 0))) {
+  const indexes = indexesOf(splitWords(expected), splitWords(received));
+  if (indexes.includes(-1)) return 'mixed';
+  if (new Set(indexes).size < indexes.length) return 'repeat';
+  if (indexes.some((value, at) => at > 0 && value < (indexes[at - 1] ?? 0))) {
     return 'reordered';
   }
-  // all words stand once and in order here: either one is missing, or the spaces are wrong.
+  // All words occur once and in order, so either a word is missing or the whitespace differs.
   return 'gap';
 }
 
-/** Judges a part of an answer: a clean beginning counts as whole. */
+/** Checks a partial answer: a correct beginning counts as `whole`. */
 export function checkBeginning(expected: string, received: string): AnswerVerdict {
   const verdict = checkAnswer(expected, received);
   return verdict === 'cut' ? 'whole' : verdict;
 }
 
-/** Place of each received word in the expected answer, -1 for a foreign one. */
-function placesOf(expected: string[], received: string[]): number[] {
-  const placeByWord = new Map(expected.map((word, place) => [word, place]));
-  return received.map((word, index) => {
-    const place = placeByWord.get(word);
-    if (place !== undefined) return place;
-    const last = index === received.length - 1;
-    // a stream may break inside its last word.
-    const begun = last ? expected.findIndex((full) => full.startsWith(word)) : -1;
-    return begun;
+/** Index of each received word in the expected answer, -1 for a foreign word. */
+function indexesOf(expected: string[], received: string[]): number[] {
+  const indexByWord = new Map(expected.map((word, index) => [word, index]));
+  return received.map((word, at) => {
+    const index = indexByWord.get(word);
+    if (index !== undefined) return index;
+    const isLast = at === received.length - 1;
+    // A stream may end in the middle of its last word.
+    const partial = isLast ? expected.findIndex((full) => full.startsWith(word)) : -1;
+    return partial;
   });
 }
--- a/packages/lab/src/runtime/answerText.ts
+++ b/packages/lab/src/runtime/answerText.ts
@@ -1,8 +1,8 @@
 /**
- * The text that the model engine stand-in answers with: a function of prompt and seed only.
+ * The answers of the model engine stand-in, which depend only on the prompt and the seed.
  *
- * Each word is one token and carries its index, so a caller who knows its own prompt can compute
- * the whole answer and tell a cut, a repeat, a gap and another caller's words apart.
+ * Each word is one token and contains its index. A caller can compute the whole answer from its
+ * prompt and tell a truncation, a repeat, a gap and another caller's words apart.
  */
 
 import { createHash } from 'node:crypto';
@@ -13,11 +13,11 @@
   content: string;
 }
 
-/** What the engine is asked to write, with what it has written already. */
+/** The whole answer of the engine, and how much of it is already written. */
 export interface AnswerTask {
   /** All words of the uninterrupted answer. */
   words: string[];
-  /** Number of words that the caller already holds. */
+  /** Number of words that the caller already has. */
   delivered: number;
 }
 
@@ -29,7 +29,7 @@
 const VOWELS = 'aeiou';
 const SYLLABLES_PER_WORD = 4;
 
-/** Words in the prompt such as `words=200` ask for an answer of that length. */
+/** A word such as `words=200` in the prompt requests an answer of that length. */
 const LENGTH_REQUEST = /\bwords=(\d{1,4})\b/;
 
 /** Splits text into words, which are the engine's tokens. */
@@ -38,21 +38,21 @@
 }
 
 /**
- * Counts prompt tokens: the words of all messages and a fixed amount for each message. A final
- * message that is continued is not framed again, as with a real engine, where it stands in the place
- * of the opening of the answer.
+ * Counts prompt tokens: the words of all messages and a fixed number of tokens for each message. A
+ * final message that is continued gets no such tokens. In a real engine, too, it replaces the opening
+ * of the answer.
  */
 export function countPromptTokens(
   messages: readonly PromptMessage[],
   continueFinal = false,
 ): number {
   const words = messages.reduce((sum, message) => sum + splitWords(message.content).length, 0);
-  const framed = continueFinal ? messages.length - 1 : messages.length;
-  return words + TOKENS_PER_MESSAGE * framed;
+  const framedMessages = continueFinal ? messages.length - 1 : messages.length;
+  return words + TOKENS_PER_MESSAGE * framedMessages;
 }
 
 /**
- * Computes the answer that a caller must receive.
+ * Computes the answer that a caller must get.
  *
  * @example
  * const text = expectedAnswer([{ role: 'user', content: 'describe a bed' }], 1, 64);
@@ -68,10 +68,10 @@
 }
 
 /**
- * Finds what is left to write. With `continueFinal` the last message is the answer so far.
+ * Plans an answer. With `continueFinal` the last message is the beginning of the answer.
  *
- * An answer so far that the engine would not have written gets a continuation that depends on it,
- * as with a real model, so a wrong splice in a caller shows up as a foreign word.
+ * A beginning that the engine would not have written gets a continuation that depends on it, as with
+ * a real model. A caller that resumes an answer incorrectly therefore gets a foreign word.
  */
 export function planAnswer(
   messages: readonly PromptMessage[],
--- a/packages/lab/src/runtime/declaredLoad.ts
+++ b/packages/lab/src/runtime/declaredLoad.ts
@@ -1,4 +1,4 @@
-/** Derives accounts and mix of a load from the declarations in force. */
+/** Derives the accounts and the request mix of a load from the declarations in force. */
 
 import type {
   ClientAccountDeclaration,
@@ -9,23 +9,23 @@
 } from '@flamingocourse/core';
 import type { LoadAccount, MixItem, Naming } from '../types/load.js';
 
-/** API keys of the examples are `demo-` and the account's name. */
+/** The API key of an account in the examples is this prefix and the account's name. */
 const DEMO_KEY_PREFIX = 'demo-';
 const STREAM_SHARE = 0.7;
-const MOST_DEMO_TOKENS = 64;
+const MAX_DEMO_TOKENS = 64;
 const SHARED_PREFIX_WORDS = 48;
-const SMALLEST_WEIGHT = 1;
+const MIN_WEIGHT = 1;
 
 const classWeights: Record<Importance, number> = { first: 3, standard: 4, background: 1 };
 
-/** What callers of a deployment do. */
+/** Accounts and request mix of a deployment. */
 export interface DeclaredLoad {
   accounts: LoadAccount[];
   mix: MixItem[];
 }
 
 /**
- * Builds a load in which every class and account takes part; large budgets call more.
+ * Creates a load with all classes and accounts. Accounts with larger budgets send more requests.
  *
  * @example
  * const { accounts, mix } = declaredLoad(declarations);
@@ -49,7 +49,7 @@
 }
 
 function loadAccount({ name, openingTokens }: ClientAccountDeclaration): LoadAccount {
-  const weight = Math.max(SMALLEST_WEIGHT, openingTokens);
+  const weight = Math.max(MIN_WEIGHT, openingTokens);
   return { name, apiKey: `${DEMO_KEY_PREFIX}${name}`, weight };
 }
 
@@ -65,7 +65,7 @@
       weight,
       naming: 'key',
       streamShare: STREAM_SHARE,
-      maxTokens: Math.min(MOST_DEMO_TOKENS, item.maxOutputTokens),
+      maxTokens: Math.min(MAX_DEMO_TOKENS, item.maxOutputTokens),
       sharedPrefixWords: SHARED_PREFIX_WORDS,
     }));
   }
--- a/packages/lab/src/runtime/demoReport.ts
+++ b/packages/lab/src/runtime/demoReport.ts
@@ -1,4 +1,4 @@
-/** Judges a demo and lays its figures out. */
+/** Checks the result of a demo and renders its figures. */
 
 import type { DemoResult } from '../types/demo.js';
 import type { ClassFigures, LoadResult, Percentiles } from '../types/load.js';
@@ -7,22 +7,22 @@
 
 type DemoFigures = Omit<DemoResult, 'violations' | 'report'>;
 
-/** Lists every promise that the run shows to be broken. */
+/** Lists the violations of the system's promises in a run, as sentences. */
 export function findViolations({ load, spend, entries }: DemoFigures): string[] {
   const counts: [number, string][] = [
-    [load.cut, 'answers were given as complete and are not'],
-    [load.mixed, 'answers held words that are not the caller’s own'],
+    [load.cut, 'answers were reported as complete but are not'],
+    [load.mixed, 'answers contained words that are not the caller’s own'],
     [load.broken, 'answers broke off without a final event'],
     [entries.doubled.length, 'non-idempotent requests ran more than once'],
-    [entries.lost.length, 'entries were promised and did not run'],
-    [entries.falselyNotRun.length, 'requests were refused as not run and ran'],
+    [entries.lost.length, 'entries were reported as executed but did not run'],
+    [entries.falselyNotRun.length, 'requests were refused as not run but ran'],
     [spend.filter((row) => row.over).length, 'accounts spent or hold more than their budget'],
     [underbilled(load, spend).length, 'accounts were billed less than their whole answers cost'],
   ];
   return counts.filter(([count]) => count > 0).map(([count, text]) => `${count} ${text}`);
 }
 
-/** Lays the figures out as tables and charts. */
+/** Creates a report with tables and charts of the figures. */
 export function createDemoReport(figures: DemoFigures): ReportDocument {
   const { load, spend, deployment } = figures;
   const classes = Object.entries(load.classes).sort(([one], [other]) => one.localeCompare(other));
@@ -43,7 +43,7 @@
   };
 }
 
-/** Accounts whose bills do not even cover the tokens that their callers were told of. */
+/** Accounts whose bills are less than the tokens that were reported to their callers. */
 function underbilled(load: LoadResult, spend: readonly SpendRow[]): SpendRow[] {
   return spend.filter((row) => row.spent < (load.accounts[row.account]?.tokens ?? 0));
 }
--- a/packages/lab/src/runtime/deployments.ts
+++ b/packages/lab/src/runtime/deployments.ts
@@ -1,4 +1,4 @@
-/** The deployments of today, in the sizes that their users gave. */
+/** The existing deployments, in the sizes that their users specified. */
 
 import type { ServiceType } from '@flamingocourse/core';
 import type { RouterSlot } from '../types/fleetRunner.js';
@@ -10,13 +10,13 @@
   servers: number;
 }
 
-/** What the lab starts for one deployment. */
+/** Routers and backend servers that the lab starts for one deployment. */
 export interface DeploymentPlan {
   name: string;
   dataCentres: string[];
   routers: number;
   services: ServicePlan[];
-  /** Account whose key the examples of the pages use. */
+  /** Account whose key the examples in the documentation use. */
   exampleAccount: string;
 }
 
@@ -45,7 +45,7 @@
 
 export type DeploymentName = keyof typeof deployments;
 
-/** Spreads the routers of a deployment evenly over its data centres. */
+/** Distributes the routers of a deployment evenly over its data centres. */
 export function routerSlots(plan: DeploymentPlan): RouterSlot[] {
   return Array.from({ length: plan.routers }, (_, index) => ({
     instance: `router-${Math.floor(index / plan.dataCentres.length) + 1}`,
@@ -53,7 +53,7 @@
   }));
 }
 
-/** Data centre of the server with this index, evenly spread. */
+/** Data centre of the router or server with this index: round-robin over the data centres. */
 export function dataCentreAt(plan: DeploymentPlan, index: number): string {
   return plan.dataCentres[index % plan.dataCentres.length] ?? '';
 }
--- a/packages/lab/src/runtime/entryAudit.ts
+++ b/packages/lab/src/runtime/entryAudit.ts
@@ -1,20 +1,20 @@
-/** Compares what callers were told of their non-idempotent requests with what really ran. */
+/** Compares the reported outcomes of non-idempotent requests with the executions at the servers. */
 
 import type { EntryOutcome } from '../types/load.js';
 import type { ServiceRun } from '../types/plainServiceStandIn.js';
 
-/** Keys of requests for which a promise was broken. */
+/** Keys of requests with a wrong outcome. */
 export interface EntryAudit {
-  /** Ran more than once. */
+  /** Executed more than once. */
   doubled: string[];
-  /** The caller was told that it ran, and it did not. */
+  /** Reported as executed, but not executed. */
   lost: string[];
-  /** The caller was told `not-run`, and it ran. */
+  /** Reported as `not-run`, but executed. */
   falselyNotRun: string[];
 }
 
 /**
- * Finds broken promises.
+ * Finds requests whose reported outcome is wrong.
  *
  * @example
  * auditEntries({ 'k-1': 'entered' }, []).lost; // ['k-1']
@@ -23,14 +23,14 @@
   outcomes: Record<string, EntryOutcome>,
   runs: readonly Pick<ServiceRun, 'callerKey'>[],
 ): EntryAudit {
-  const runsByKey = new Map<string, number>();
+  const runCounts = new Map<string, number>();
   for (const { callerKey } of runs) {
-    runsByKey.set(callerKey, (runsByKey.get(callerKey) ?? 0) + 1);
+    runCounts.set(callerKey, (runCounts.get(callerKey) ?? 0) + 1);
   }
   const keysWith = (outcome: EntryOutcome, ran: boolean): string[] =>
-    Object.keys(outcomes).filter((key) => outcomes[key] === outcome && runsByKey.has(key) === ran);
+    Object.keys(outcomes).filter((key) => outcomes[key] === outcome && runCounts.has(key) === ran);
   return {
-    doubled: [...runsByKey].filter(([, count]) => count > 1).map(([key]) => key),
+    doubled: [...runCounts].filter(([, count]) => count > 1).map(([key]) => key),
     lost: keysWith('entered', false),
     falselyNotRun: keysWith('not-run', true),
   };
--- a/packages/lab/src/runtime/lateReport.ts
+++ b/packages/lab/src/runtime/lateReport.ts
@@ -1,6 +1,6 @@
-/** Reports that become visible late, as an engine's load and cache events do. */
+/** Values that become visible after a delay, like the load and cache events of a model engine. */
 
-/** Keeps values until they are old enough to be seen. */
+/** Stores the most recent values and makes each visible after `lagMs`. */
 export class LateReport<T> {
   readonly #lagMs: number;
   readonly #capacity: number;
@@ -11,19 +11,19 @@
     this.#capacity = capacity;
   }
 
-  /** Adds a value; the oldest goes when there is no room. */
+  /** Adds a value; removes the oldest one if the capacity is exceeded. */
   add(value: T, now: number): void {
     this.#entries.push({ at: now, value });
     if (this.#entries.length > this.#capacity) this.#entries.shift();
   }
 
-  /** All values that are old enough, oldest first. */
+  /** All visible values, oldest first. */
   visible(now: number): T[] {
     const entries = this.#entries.filter((entry) => entry.at <= now - this.#lagMs);
     return entries.map((entry) => entry.value);
   }
 
-  /** Newest value that is old enough. */
+  /** The newest visible value. */
   latest(now: number): T | undefined {
     return this.#entries.findLast((entry) => entry.at <= now - this.#lagMs)?.value;
   }
--- a/packages/lab/src/runtime/loadPlan.ts
+++ b/packages/lab/src/runtime/loadPlan.ts
@@ -1,17 +1,17 @@
-/** Draws all requests of a run from its seed, before anything is sent. */
+/** Generates all requests of a run from its seed, before any of them is sent. */
 
 import type { LoadOptions, MixItem, PlannedRequest } from '../types/load.js';
 import type { Random } from './random.js';
 import { createRandom } from './random.js';
 
-/** Most requests of one run. */
+/** Maximum number of requests of one run. */
 export const MAX_REQUESTS = 200_000;
 
 const DEFAULT_SHARE = 0.02;
 const MS_PER_SECOND = 1_000;
 const MAX_HANG_UP_TOKENS = 6;
 
-/** What donors, families and pilots ask about; the text only has to vary. */
+/** Subjects of the prompts. Their only purpose is to make the prompts differ. */
 const SUBJECTS = ['oak wardrobe', 'bunk bed', 'kitchen table', 'tow rope', 'K-21 glider', 'winch'];
 const TASKS = ['describe', 'draft a listing for', 'say what is in stock of', 'summarise'];
 
@@ -28,7 +28,7 @@
 >;
 
 /**
- * Plans the arrivals: exponential gaps, skewed over accounts, routers and classes by their weights.
+ * Plans the arrivals of a run: a Poisson process with weighted random accounts, routers and classes.
  *
  * @example
  * const plan = planLoad({ targets, accounts, mix, ratePerSecond: 20, seconds: 10, seed: 3 });
@@ -44,7 +44,7 @@
   return plan;
 }
 
-/** Weights that fall as 1/n, for a few large accounts among many small ones. */
+/** Weights proportional to 1/n (Zipf): a few large accounts and many small ones. */
 export function skewedWeights(count: number): number[] {
   return Array.from({ length: count }, (_, index) => 1 / (index + 1));
 }
--- a/packages/lab/src/runtime/loadRecorder.ts
+++ b/packages/lab/src/runtime/loadRecorder.ts
@@ -1,4 +1,4 @@
-/** Gathers what callers saw into the figures of a run. */
+/** Aggregates the outcomes that callers saw into the figures of a run. */
 
 import type { Histogram } from 'hdr-histogram-js';
 import type {
@@ -15,7 +15,7 @@
 
 const MAX_FAULTS = 50;
 const MICROSECONDS_PER_MS = 1_000;
-const LONGEST_LATENCY_US = 600_000_000;
+const MAX_LATENCY_US = 600_000_000;
 
 interface ClassRecord {
   requests: number;
@@ -68,22 +68,22 @@
     this.#account(request).requests += 1;
   }
 
-  /** Counts one attempt, also one that is followed by a retry. */
+  /** Counts one attempt, including one that is followed by a retry. */
   attempt(request: PlannedRequest, index: number, end: CallEnd): void {
     if (index > 0) this.#counts.retries += 1;
     if (end.type === 'broken') this.#counts.broken += 1;
-    if ('verdict' in end) this.#judge(request, end.verdict);
+    if ('verdict' in end) this.#recordVerdict(request, end.verdict);
   }
 
-  /** Counts the last word on a request; `startedAt` and `endedAt` in milliseconds. */
+  /** Counts the final outcome of a request; `startedAt` and `endedAt` in milliseconds. */
   finished(request: PlannedRequest, end: CallEnd, startedAt: number, endedAt: number): void {
     if (request.item.type === 'entry') this.#counts.entries[request.key] = entryOutcome(end);
     switch (end.type) {
       case 'answer':
-        if (end.verdict === 'whole') this.#answered(request, end, startedAt, endedAt);
+        if (end.verdict === 'whole') this.#recordAnswer(request, end, startedAt, endedAt);
         return;
       case 'refused':
-        this.#refusedBy(request, end.reason);
+        this.#recordRefusal(request, end.reason);
         return;
       case 'hung-up':
         this.#counts.hungUp += 1;
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Figures of the run so far. */
+  /** Figures of the run up to now. */
   result(seed: number, seconds: number): LoadResult {
     const classes = [...this.#classes].map(([name, record]) => [name, classFigures(record)]);
     return {
@@ -105,7 +105,7 @@
     };
   }
 
-  #judge(request: PlannedRequest, verdict: AnswerVerdict): void {
+  #recordVerdict(request: PlannedRequest, verdict: AnswerVerdict): void {
     if (verdict === 'whole') return;
     if (verdict === 'mixed') this.#counts.mixed += 1;
     else this.#counts.cut += 1;
@@ -118,7 +118,7 @@
     });
   }
 
-  #answered(
+  #recordAnswer(
     request: PlannedRequest,
     end: CallEnd & { type: 'answer' },
     startedAt: number,
@@ -134,7 +134,7 @@
     account.tokens += (end.usage?.promptTokens ?? 0) + (end.usage?.completionTokens ?? 0);
   }
 
-  #refusedBy(request: PlannedRequest, reason: string): void {
+  #recordRefusal(request: PlannedRequest, reason: string): void {
     this.#counts.refusals[reason] = (this.#counts.refusals[reason] ?? 0) + 1;
     this.#class(request).refused += 1;
     this.#account(request).refused += 1;
@@ -173,7 +173,7 @@
 }
 
 function createHistogram(): Histogram {
-  return build({ highestTrackableValue: LONGEST_LATENCY_US, numberOfSignificantValueDigits: 3 });
+  return build({ highestTrackableValue: MAX_LATENCY_US, numberOfSignificantValueDigits: 3 });
 }
 
 function percentiles(histogram: Histogram): Percentiles {
@@ -183,5 +183,5 @@
 }
 
 function toMicroseconds(ms: number): number {
-  return Math.min(Math.max(0, Math.round(ms * MICROSECONDS_PER_MS)), LONGEST_LATENCY_US);
+  return Math.min(Math.max(0, Math.round(ms * MICROSECONDS_PER_MS)), MAX_LATENCY_US);
 }
--- a/packages/lab/src/runtime/prefixCache.ts
+++ b/packages/lab/src/runtime/prefixCache.ts
@@ -1,18 +1,18 @@
-/** Prompt prefix cache of the engine stand-in: blocks of words in limited memory, oldest use out. */
+/** Prompt prefix cache of the engine stand-in: an LRU cache of blocks of words. */
 
 import { createHash } from 'node:crypto';
 
-/** A change that the engine publishes, late and with gaps. */
+/** A change of the cache, which the engine publishes with a delay and with gaps. */
 export interface CacheEvent {
-  /** Dense as it happens; a reader that misses a number missed an event. */
+  /** Consecutive number, so that a reader can detect missed events. */
   seq: number;
   type: 'stored' | 'removed';
-  /** Digest of the block and of all blocks before it. */
+  /** Digest over the block and all blocks before it. */
   block: string;
   at: number;
 }
 
-/** Words of one block. */
+/** Number of words in a block. */
 export const BLOCK_WORDS = 16;
 
 /**
@@ -23,7 +23,7 @@
  * const cachedTokens = cache.use(words);
  */
 export class PrefixCache {
-  /** A Map keeps insertion order, so its first key is the block used longest ago. */
+  /** A Map preserves insertion order, so its first key is the least recently used block. */
   readonly #blocks = new Map<string, true>();
   readonly #capacity: number;
   readonly #onChange: (type: CacheEvent['type'], block: string) => void;
@@ -33,12 +33,12 @@
     this.#onChange = onChange;
   }
 
-  /** Part of the memory in use, from 0 to 1. */
+  /** Fraction of the capacity in use, from 0 to 1. */
   get usage(): number {
     return this.#capacity === 0 ? 0 : this.#blocks.size / this.#capacity;
   }
 
-  /** Looks a prompt up, stores its blocks and returns the number of words found. */
+  /** Looks up a prompt, stores its blocks and returns the number of cached words. */
   use(words: readonly string[]): number {
     const blocks = blockDigests(words);
     const firstMiss = blocks.findIndex((block) => !this.#blocks.has(block));
@@ -59,7 +59,7 @@
   }
 }
 
-/** Digests of the full blocks of a prompt; each covers everything before it. */
+/** Digests of the full blocks of a prompt; each covers all blocks before it. */
 export function blockDigests(words: readonly string[]): string[] {
   const digests: string[] = [];
   let previous = '';
--- a/packages/lab/src/runtime/prove/billAudit.ts
+++ b/packages/lab/src/runtime/prove/billAudit.ts
@@ -1,28 +1,29 @@
-/** Compares what callers saw with the bills. */
+/** Compares the answers that callers received with the bills. */
 
 import type { AccountId, Bill, TicketId, Tokens } from '@flamingocourse/core';
 
-/** A whole answer that a caller got. */
+/** A complete answer that a caller received. */
 export interface SeenAnswer {
   account: AccountId;
-  /** The caller's own name for the request. */
+  /** The caller's name for the request, used in violations. */
   key: string;
-  /** Digest under which the bill carries an idempotency key; absent where none was sent. */
+  /** Digest of the idempotency key, as the bill has it; absent if the caller sent no key. */
   keyDigest?: string;
-  /** From the answer's id; absent when it had none that this fleet signed. */
+  /** Ticket from the answer's id; absent if there was no id signed by this fleet. */
   ticket?: TicketId;
-  /** Tokens that the answer cost, as the caller was told; absent where it was not told. */
+  /** Cost in tokens that the answer reported to the caller; absent if it reported none. */
   cost?: Tokens;
 }
 
-/** A request that ended in `not-run`, with the digest of its key. */
+/** A request that was refused with `not-run`. */
 export interface SeenNotRun {
   key: string;
   keyDigest: string;
 }
 
 /**
- * Names answers without exactly one bill of the right cost, and names billed more than once.
+ * Lists, as sentences, answers without exactly one bill of the reported cost, tickets and keys with
+ * more than one bill, and billed requests that were reported as not run.
  *
  * @example
  * auditBills({ answers, notRun: [], bills }); // [] when each answer has its bill
@@ -32,59 +33,62 @@
   notRun: readonly SeenNotRun[];
   bills: readonly Bill[];
 }): string[] {
-  const byRequest = groupBy(seen.bills, (bill) => requestName(bill.holder, bill.ticket));
-  const byKey = groupBy(
+  const billsByTicket = groupBy(seen.bills, (bill) => ticketName(bill.holder, bill.ticket));
+  const billsByKey = groupBy(
     seen.bills.filter((bill) => bill.keyDigest !== undefined),
     (bill) => bill.keyDigest ?? '',
   );
-  const byName = groupBy(seen.answers, (answer) => answer.key);
+  const answersByKey = groupBy(seen.answers, (answer) => answer.key);
   return [
-    ...[...byName.values()].flatMap((answers) => judgeAnswers(answers, byRequest, byKey)),
-    ...findRepeated(byRequest, 'request'),
-    ...findRepeated(byKey, 'key'),
+    ...[...answersByKey.values()].flatMap((answers) =>
+      checkAnswers(answers, billsByTicket, billsByKey),
+    ),
+    ...findDuplicates(billsByTicket, 'request'),
+    ...findDuplicates(billsByKey, 'key'),
     ...seen.notRun
-      .filter(({ keyDigest }) => byKey.has(keyDigest))
-      .map(({ key }) => `${key} was refused as not run and is billed`),
+      .filter(({ keyDigest }) => billsByKey.has(keyDigest))
+      .map(({ key }) => `${key}: refused as not run but billed`),
   ];
 }
 
 /**
- * Judges all answers to one named request. Several routers may have answered it, each under an id of
- * its own: all of them together have one bill, under the id of one or under the key.
+ * Checks all answers to one request. Several routers may have answered it, each with its own ticket.
+ * All of them together must have exactly one bill, with one of the tickets or with the key.
  */
-function judgeAnswers(
+function checkAnswers(
   answers: readonly SeenAnswer[],
-  byRequest: ReadonlyMap<string, Bill[]>,
-  byKey: ReadonlyMap<string, Bill[]>,
+  billsByTicket: ReadonlyMap<string, Bill[]>,
+  billsByKey: ReadonlyMap<string, Bill[]>,
 ): string[] {
   const key = answers[0]?.key ?? '';
-  if (answers.some(({ ticket }) => !ticket)) return [`${key}: an answer has no id of this fleet`];
-  const ids = answers.map(({ ticket }) => requestName(ticket?.issuer ?? '', ticket?.number ?? 0));
+  if (answers.some(({ ticket }) => !ticket))
+    return [`${key}: an answer has no id signed by this fleet`];
+  const ids = answers.map(({ ticket }) => ticketName(ticket?.issuer ?? '', ticket?.number ?? 0));
   const bills = new Set([
-    ...ids.flatMap((id) => byRequest.get(id) ?? []),
-    ...answers.flatMap(({ keyDigest }) => byKey.get(keyDigest ?? '') ?? []),
+    ...ids.flatMap((id) => billsByTicket.get(id) ?? []),
+    ...answers.flatMap(({ keyDigest }) => billsByKey.get(keyDigest ?? '') ?? []),
   ]);
   const [bill] = bills;
-  if (!bill) return [`${key}: answered and not billed (${ids.join(', ')})`];
+  if (!bill) return [`${key}: answered but not billed (${ids.join(', ')})`];
   if (bills.size > 1) {
-    const holders = [...bills].map((one) => requestName(one.holder, one.ticket)).join(' and ');
-    return [`${key}: one request with ${bills.size} bills (${holders})`];
+    const tickets = [...bills].map((one) => ticketName(one.holder, one.ticket)).join(' and ');
+    return [`${key}: one request with ${bills.size} bills (${tickets})`];
   }
-  return answers.flatMap((answer) => judgeCost(answer, bill));
+  return answers.flatMap((answer) => checkCost(answer, bill));
 }
 
-function judgeCost({ key, account, cost }: SeenAnswer, bill: Bill): string[] {
+function checkCost({ key, account, cost }: SeenAnswer, bill: Bill): string[] {
   if (bill.account !== account) return [`${key}: billed to ${bill.account}`];
   if (cost === undefined || bill.cost === cost) return [];
-  return [`${key}: billed ${bill.cost}, the caller was told ${cost}`];
+  return [`${key}: billed ${bill.cost}, reported to the caller as ${cost}`];
 }
 
-function findRepeated(bills: ReadonlyMap<string, Bill[]>, what: string): string[] {
+function findDuplicates(bills: ReadonlyMap<string, Bill[]>, what: string): string[] {
   return [...bills]
-    .filter(([, lines]) => lines.length > 1)
-    .map(([name, lines]) => {
-      const holders = lines.map((bill) => `${bill.holder}#${bill.ticket}`).join(' and ');
-      return `${what} ${name} is billed ${lines.length} times: ${holders}`;
+    .filter(([, duplicates]) => duplicates.length > 1)
+    .map(([name, duplicates]) => {
+      const tickets = duplicates.map((bill) => `${bill.holder}#${bill.ticket}`).join(' and ');
+      return `${what} ${name} is billed ${duplicates.length} times: ${tickets}`;
     });
 }
 
@@ -97,6 +101,6 @@
   return groups;
 }
 
-function requestName(holder: string, ticket: number): string {
+function ticketName(holder: string, ticket: number): string {
   return `${holder}#${ticket}`;
 }
--- a/packages/lab/src/runtime/prove/findings.ts
+++ b/packages/lab/src/runtime/prove/findings.ts
@@ -1,4 +1,4 @@
-/** Gathers what the phases of a proof found, promise by promise. */
+/** Collects the findings of the phases of `prove`, by promise. */
 
 import type { PromiseNumber, PromiseReport } from '../../types/prove.js';
 import { PROMISES } from '../../types/prove.js';
@@ -21,7 +21,7 @@
     ]),
   );
 
-  /** Adds checks made under faults, and what they found broken. */
+  /** Adds checks that were made under some faults, and the violations that they found. */
   add(
     promise: PromiseNumber,
     found: { faults?: readonly string[]; checks: number; violations?: readonly string[] },
@@ -37,7 +37,7 @@
     }
   }
 
-  /** A promise without any check counts as unproved, never as held. */
+  /** Reports of all promises. A promise without any check is `unproved`, not `held`. */
   reports(): PromiseReport[] {
     return [...this.#byPromise].map(([promise, { faults, checks, violations, more }]) => ({
       promise,
@@ -50,15 +50,15 @@
 }
 
 /**
- * Writes a report as one line, and a line for each violation below it.
+ * Formats a report as one line, followed by one line for each violation.
  *
  * @example
  * formatReport(report, 1); // 'promise 7 held: a planned stop ... (faults: SIGTERM; 120 checks; seed 1)'
  */
 export function formatReport(report: PromiseReport, seed: number): string {
   const { promise, verdict, faults, checks, violations } = report;
-  const tried = faults.length > 0 ? faults.join(', ') : 'none';
+  const faultNames = faults.length > 0 ? faults.join(', ') : 'none';
   const head = `promise ${promise} ${verdict}: ${PROMISES[promise - 1] ?? ''}`;
   const lines = violations.map((violation) => `  ${violation}`);
-  return [`${head} (faults: ${tried}; ${checks} checks; seed ${seed})`, ...lines].join('\n');
+  return [`${head} (faults: ${faultNames}; ${checks} checks; seed ${seed})`, ...lines].join('\n');
 }
--- a/packages/lab/src/runtime/prove/moneyAudit.ts
+++ b/packages/lab/src/runtime/prove/moneyAudit.ts
@@ -1,36 +1,39 @@
-/** Checks budgets and bills in the objects that the platform holds. */
+/** Checks budgets and bills in the objects that the platform stores. */
 
 import type { AccountId, Bill, JournalState, LedgerPage, Tokens } from '@flamingocourse/core';
 import { checkInvariant, checkLedgerInvariant, pool, ungranted } from '@flamingocourse/core';
 
-/** The money objects, all read at one moment. */
+/** Ledgers and journals, all read at the same moment. */
 export interface MoneyView {
   ledgers: LedgerPage[];
   journals: JournalState[];
 }
 
-/** Names what must never be seen, at any moment and under any fault. */
+/** Lists violations of the invariants that hold at any moment and under any fault. */
 export function findMoneyFaults({ ledgers, journals }: MoneyView): string[] {
   const faults: string[] = [];
   for (const page of ledgers) {
-    const over = checkLedgerInvariant(page);
-    if (over !== undefined) faults.push(`ledger page ${page.page}: ${over} granted over its limit`);
+    const overGranted = checkLedgerInvariant(page);
+    if (overGranted !== undefined)
+      faults.push(`ledger page ${page.page}: ${overGranted} granted above its limit`);
     for (const [account, { limit }] of Object.entries(page.accounts)) {
       const used = sumOver(journals, (journal) => spentIn(journal, account));
-      if (used > limit) faults.push(`${account}: ${used} billed of a limit of ${limit}`);
+      if (used > limit) faults.push(`${account}: ${used} billed, above the limit of ${limit}`);
     }
   }
   for (const journal of journals) {
-    const over = checkInvariant(journal);
-    if (over !== undefined)
-      faults.push(`journal ${journal.dataCentre}: slices of ${over} too large`);
+    const overdrawn = checkInvariant(journal);
+    if (overdrawn !== undefined)
+      faults.push(
+        `journal ${journal.dataCentre}: slices of ${overdrawn} exceed the tokens of the data centre`,
+      );
   }
   return faults;
 }
 
 /**
- * Names what does not add up once everything is quiet: ledger and journals agree, the lines of the
- * bills add up to what is billed, and limit = billed + held + free to the token.
+ * Lists violations of the invariants that hold once all requests and transfers have ended: ledger and
+ * journals agree, the bills add up to the spent tokens, and limit = billed + held + free exactly.
  */
 export function findQuietFaults(view: MoneyView, bills: readonly Bill[]): string[] {
   const faults = findMoneyFaults(view);
@@ -52,17 +55,21 @@
     const own = journal.accounts[account];
     const share = entry.shares[journal.dataCentre];
     for (const counter of ['grantedIn', 'returnedOut', 'spent'] as const) {
-      const [there, here] = [share?.[counter] ?? 0, own?.[counter] ?? 0];
-      if (there === here) continue;
+      const [inLedger, inJournal] = [share?.[counter] ?? 0, own?.[counter] ?? 0];
+      if (inLedger === inJournal) continue;
       faults.push(
-        `${account} in ${journal.dataCentre}: ${counter} ${there} in ledger, ${here} here`,
+        `${account} in ${journal.dataCentre}: ${counter} is ${inLedger} in the ledger and ${inJournal} in the journal`,
       );
     }
   }
   const billed = sumOver(journals, (journal) => spentIn(journal, account));
-  const lines = sumOver(bills, (bill) => (bill.account === account ? bill.cost : 0));
-  if (lines !== billed) faults.push(`${account}: bills add up to ${lines}, ${billed} was billed`);
-  const held = sumOver(journals, (journal) => pool(journal, account) + sliceSum(journal, account));
+  const billSum = sumOver(bills, (bill) => (bill.account === account ? bill.cost : 0));
+  if (billSum !== billed)
+    faults.push(`${account}: bills add up to ${billSum}, the journals have ${billed}`);
+  const held = sumOver(
+    journals,
+    (journal) => pool(journal, account) + heldInSlices(journal, account),
+  );
   const free = ungranted(entry) + entry.pendingReduction;
   if (billed + held + free !== entry.limit) {
     faults.push(`${account}: limit ${entry.limit} is not ${billed} + ${held} + ${free}`);
@@ -74,7 +81,7 @@
   return journal.accounts[account]?.spent ?? 0;
 }
 
-function sliceSum(journal: JournalState, account: AccountId): Tokens {
+function heldInSlices(journal: JournalState, account: AccountId): Tokens {
   return sumOver(Object.values(journal.holders), (holder) => holder.slices[account] ?? 0);
 }
 
--- a/packages/lab/src/runtime/random.ts
+++ b/packages/lab/src/runtime/random.ts
@@ -1,4 +1,4 @@
-/** Seeded randomness of the lab, by pure-rand, so that a run can be repeated from its seed. */
+/** Seeded random source of the lab (pure-rand), so that a run can be repeated from its seed. */
 
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -6,15 +6,15 @@
 
 /** A seeded source of random choices. */
 export interface Random {
-  /** Whole number between both ends, inclusive. */
+  /** Integer from `from` to `to`, both inclusive. */
   int(from: number, to: number): number;
   /** Number from 0 up to, not including, 1. */
   fraction(): number;
   /** True with the given probability. */
   chance(probability: number): boolean;
-  /** One of the items; they must not be empty. */
+  /** One of the items, with equal probability. Throws a `RangeError` if there are none. */
   pick<T>(items: readonly [T, ...T[]] | readonly T[]): T;
-  /** One of the items, each as likely as its weight says. */
+  /** One of the items, with a probability proportional to its weight. */
   pickWeighted<T extends { weight: number }>(items: readonly T[]): T;
 }
 
@@ -39,10 +39,10 @@
 
 function pickWeighted<T extends { weight: number }>(items: readonly T[], fraction: number): T {
   const total = items.reduce((sum, item) => sum + item.weight, 0);
-  let left = fraction * total;
+  let remaining = fraction * total;
   for (const item of items) {
-    left -= item.weight;
-    if (left < 0) return item;
+    remaining -= item.weight;
+    if (remaining < 0) return item;
   }
   return itemAt(items, items.length - 1);
 }
--- a/packages/lab/src/runtime/routingExperiment/runRoutingExperiment.ts
+++ b/packages/lab/src/runtime/routingExperiment/runRoutingExperiment.ts
@@ -28,7 +28,7 @@
 const FAULT_UNTIL_MS = 60_000;
 const SLOW_FACTOR = 4;
 /** Data centre and server that the faults affect. */
-const faultyDataCentre = 'dc-b';
+const faultyCentre = 'dc-b';
 const faultyServer = 'dc-b/s1';
 /** One-way latency between data centres, in milliseconds. */
 const NETWORK_MS = 0.5;
@@ -204,8 +204,6 @@
 
   #reachable(from: string, id: ServerId): boolean {
     const to = this.#servers.get(id)?.dataCentre;
-    return (
-      !this.#partitioned || from === to || (from !== faultyDataCentre && to !== faultyDataCentre)
-    );
+    return !this.#partitioned || from === to || (from !== faultyCentre && to !== faultyCentre);
   }
 }
--- a/packages/lab/src/runtime/spend.ts
+++ b/packages/lab/src/runtime/spend.ts
@@ -1,4 +1,4 @@
-/** Reads what accounts have spent from the platform's ledgers and journals. */
+/** Computes the spend of accounts from the platform's ledgers and journals. */
 
 import type { JournalState, LedgerPage } from '@flamingocourse/core';
 
@@ -8,14 +8,14 @@
   limit: number;
   /** Sum of all bills, from the journals. */
   spent: number;
-  /** Handed out to data centres, spent or not, from the ledger. */
+  /** Granted to data centres and not returned, spent or not, from the ledger. */
   committed: number;
-  /** Either the spend or what is committed passes the budget. */
+  /** Whether `spent` or `committed` exceeds the budget. */
   over: boolean;
 }
 
 /**
- * Adds up the spend of every account.
+ * Computes the spend of every account, largest budget first.
  *
  * @example
  * const over = readSpend(ledgers, journals).filter((row) => row.over);
--- a/packages/lab/src/utils/labError.ts
+++ b/packages/lab/src/utils/labError.ts
@@ -13,7 +13,7 @@
   | 'no-usage'
   | 'measure-failed';
 
-/** A run of the lab that cannot go on; the message says what to look at. */
+/** A failed run of the lab. The message says what is wrong or what to check. */
 export class LabError extends LayerError<LabErrorCode> {
   override readonly layer = 'lab';
 }
