--- a/packages/lab/src/runtime/walk/requestSteps.ts
+++ b/packages/lab/src/runtime/walk/requestSteps.ts
@@ -66,9 +66,7 @@
     const { run } = holderIn(system, holder);
     if (run.phase !== 'reserved' || run.request !== NON_IDEMPOTENT) return undefined;
     const next = writeLine(system, holder, { type: 'intent', ticket: run.request }, maxLines);
-    return (
-      next && withRun(next, holder, waitForLastLine(next, holder, { ...run, phase: 'intended' }))
-    );
+    return next && withRun(next, holder, waitForLine(next, holder, { ...run, phase: 'intended' }));
   },
   dispatch: (system, { holder }, rules) => {
     const { run } = holderIn(system, holder);
@@ -93,7 +91,7 @@
     const change = { type: 'bill', bill: billOf(holder, run, cost) } as const;
     const next = writeLine(system, holder, change, maxLines);
     const billed: Run = { ...run, phase: 'billed', amount: 0 };
-    return next && withRun(next, holder, waitForLastLine(next, holder, billed));
+    return next && withRun(next, holder, waitForLine(next, holder, billed));
   },
   finalEvent: (system, { holder }, rules) => {
     const { run } = holderIn(system, holder);
@@ -113,7 +111,8 @@
   return Math.max(storedSeq, view.holders[holder]?.seq ?? 0);
 }
 
-function waitForLastLine(system: SystemState, holder: IncarnationId, run: Run): Run {
+/** Makes the next step of a run wait for the last line of its holder. */
+function waitForLine(system: SystemState, holder: IncarnationId, run: Run): Run {
   return { ...run, lineAt: holderIn(system, holder).history.length };
 }
 
