--- a/packages/lab/src/runtime/budgetMeasure/requestPlan.ts
+++ b/packages/lab/src/runtime/budgetMeasure/requestPlan.ts
@@ -48,7 +48,7 @@
 const DURATION_MS = { from: 30, to: 400 };
 
 /**
- * Draws a random plan of requests.
+ * Generates a random plan of requests.
  *
  * @example
  * planRequests({ seconds: 10, ratePerSecond: 100, routers: 8, accounts: ['kirk'] }, createRandom(1));
--- a/packages/lab/src/runtime/naive/reducerRouter.ts
+++ b/packages/lab/src/runtime/naive/reducerRouter.ts
@@ -26,7 +26,6 @@
     witness: createWitness(),
     formerly: [],
     storedSeq: 0,
-    /** Whether the reply to its next write gets lost. */
     losesNextReply: false,
     outcomes: new Map(),
   };
--- a/packages/lab/src/runtime/prepaidExperiment/prepaidArrivals.ts
+++ b/packages/lab/src/runtime/prepaidExperiment/prepaidArrivals.ts
@@ -67,7 +67,7 @@
 const LIMIT_FACTOR = 1.3;
 
 /**
- * Draws a random load.
+ * Generates a random load.
  *
  * @example
  * const load = drawPrepaidLoad({ seconds: 55, instances: 7 }, createRandom(1));
@@ -92,7 +92,7 @@
   return { arrivals, limits: new Map(limits), instances };
 }
 
-/** Draws the additional requests of the burst. */
+/** Generates the additional requests of the burst. */
 function drawBurst(kind: Kind, instances: readonly string[], random: Random): PrepaidArrival[] {
   return accounts
     .filter(({ at }) => burst.accounts.includes(at))
--- a/packages/lab/src/runtime/walk/findViolation.ts
+++ b/packages/lab/src/runtime/walk/findViolation.ts
@@ -9,16 +9,16 @@
 /** Broken invariants, as the mutant report prints them. */
 export type Violation =
   | 'ledger grants more than the limit'
-  | 'limit is above what was paid'
+  | 'limit is higher than what was paid'
   | 'journal charges more than it was granted'
-  | 'journal believes in more than the ledger granted'
-  | 'ledger took back more than the journal gave'
-  | 'spent more than was paid'
+  | 'journal records more grants than the ledger'
+  | 'ledger records more returns than the journal'
+  | 'more spent than was paid'
   | 'router spends more than it holds'
   | 'request billed twice'
   | 'answered request is not billed exactly once'
   | 'non-idempotent request ran twice'
-  | 'ran although said not to have run'
+  | 'request reported as not run has run'
   | 'revision fell';
 
 type Check = (system: SystemState) => boolean;
@@ -27,22 +27,22 @@
 const checks: Record<Violation, Check> = {
   'ledger grants more than the limit': (system) =>
     checkLedgerInvariant(system.ledger) !== undefined,
-  'limit is above what was paid': (system) =>
+  'limit is higher than what was paid': (system) =>
     (system.ledger.accounts[ACCOUNT]?.limit ?? 0) > system.observed.paid,
   'journal charges more than it was granted': (system) =>
     journals(system).some((journal) => checkInvariant(journal) !== undefined),
-  'journal believes in more than the ledger granted': (system) =>
+  'journal records more grants than the ledger': (system) =>
     journals(system).some((one) => totals(one).grantedIn > ledgerShare(system, one).grantedIn),
-  'ledger took back more than the journal gave': (system) =>
+  'ledger records more returns than the journal': (system) =>
     journals(system).some((one) => totals(one).returnedOut < ledgerShare(system, one).returnedOut),
-  'spent more than was paid': (system) => spentIn(journals(system)) > system.observed.paid,
+  'more spent than was paid': (system) => spentIn(journals(system)) > system.observed.paid,
   'router spends more than it holds': (system) =>
     Object.keys(system.holders).some((id) => !holdsEnough(system, id)),
   'request billed twice': (system) => hasDuplicates(billedKeys(journals(system))),
   'answered request is not billed exactly once': isAnswerUnbilled,
   'non-idempotent request ran twice': (system) =>
     system.observed.dispatched.filter((name) => name.endsWith(`/${NON_IDEMPOTENT}`)).length > 1,
-  'ran although said not to have run': (system) =>
+  'request reported as not run has run': (system) =>
     system.observed.notRun.some((name) => system.observed.dispatched.includes(name)),
   'revision fell': (system) => system.observed.revisionFell,
 };
