--- a/packages/lab/src/node/engineStandIn/batchScheduler.ts
+++ b/packages/lab/src/node/engineStandIn/batchScheduler.ts
@@ -1,30 +1,30 @@
-/** Continuous batching of the engine stand-in: each step writes one token of every running request. */
+/** Continuous batching of the engine stand-in: each step writes one token per running request. */
 
 import { Channel, sleep, startProcess, take } from '@flamingocourse/kernel';
 
-/** A request as the scheduler sees it. */
+/** A request in the scheduler. */
 export interface Sequence {
-  /** Lower runs first. */
+  /** Lower values run first. */
   priority: number;
-  /** Time to read the part of the prompt that is not cached, in milliseconds. */
+  /** Time to read the uncached part of the prompt, in milliseconds. */
   prefillMs: number;
   /** Writes the next token; returns whether the request is finished. */
   writeToken(): boolean;
 }
 
-/** How long steps take, asked anew for each. */
+/** Durations of a step, queried again for each step. */
 export interface StepTimes {
-  /** Milliseconds of a step with this many requests. */
+  /** Milliseconds of a decoding step with this many requests. */
   decodeMs(batch: number): number;
   slowFactor(): number;
-  /** While true nothing is written. */
+  /** While it returns true, nothing is written. */
   hanging(): boolean;
 }
 
 const HANG_POLL_MS = 20;
 
 /**
- * Runs up to `slots` requests at once; the others wait by priority, then by arrival.
+ * Runs up to `slots` requests concurrently; the others wait, ordered by priority and arrival.
  *
  * @example
  * const scheduler = new BatchScheduler(8, times, reportFailure);
@@ -53,20 +53,20 @@
     return this.#waiting.length;
   }
 
-  /** Puts a request into the queue. */
+  /** Adds a request to the queue. */
   add(sequence: Sequence): void {
-    const place = this.#waiting.findIndex((other) => other.priority > sequence.priority);
-    this.#waiting.splice(place === -1 ? this.#waiting.length : place, 0, sequence);
+    const index = this.#waiting.findIndex((other) => other.priority > sequence.priority);
+    this.#waiting.splice(index === -1 ? this.#waiting.length : index, 0, sequence);
     this.#wake.offer(true);
   }
 
-  /** Takes a request out, running or waiting; its slot is free at the next step. */
+  /** Removes a running or waiting request; its slot is free from the next step on. */
   cancel(sequence: Sequence): void {
     this.#running = this.#running.filter((other) => other !== sequence);
     this.#waiting = this.#waiting.filter((other) => other !== sequence);
   }
 
-  /** Drops all requests and ends. */
+  /** Drops all requests and stops the scheduler. */
   close(): void {
     this.#open = false;
     this.#running = [];
@@ -92,7 +92,7 @@
     return this.#open && this.#times.hanging();
   }
 
-  /** Fills free slots; returns the time that reading the new prompts takes. */
+  /** Fills free slots; returns the time to read the new prompts, in milliseconds. */
   #admit(): number {
     const admitted = this.#waiting.splice(0, this.#slots - this.#running.length);
     this.#running.push(...admitted);
@@ -102,7 +102,7 @@
   #writeTokens(): void {
     const finished = new Set<Sequence>();
     for (const sequence of [...this.#running]) {
-      // a crash in the middle of a step ends the step for the neighbours as well.
+      // a crash in the middle of a step also ends the step for the other requests.
       if (!this.#open) return;
       if (sequence.writeToken()) finished.add(sequence);
     }
--- a/packages/lab/src/node/engineStandIn/chatAttempt.ts
+++ b/packages/lab/src/node/engineStandIn/chatAttempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at an answer, as the scheduler runs it token by token. */
+/** One attempt to answer a chat request, run by the scheduler token by token. */
 
 import type { ServerResponse } from 'node:http';
 import type { AnswerTask } from '../../runtime/answerText.js';
@@ -7,19 +7,19 @@
 import type { ChatWriter } from './chatWriter.js';
 import { createChatWriter, StreamWriter } from './chatWriter.js';
 
-/** What the engine has worked out about an attempt, and what it wants to hear of it. */
+/** Answer and token counts of an attempt, and the callbacks of the engine. */
 export interface AttemptPlan {
   task: AnswerTask;
   prefillMs: number;
   promptTokens: number;
   cachedTokens: number;
-  /** Returns false when nothing may be written any more. */
+  /** Called before each token; returns false if nothing more may be written. */
   beforeToken(): boolean;
   afterToken(): void;
   onFinish(): void;
 }
 
-/** Writes the words of an answer from where the caller's copy ends. */
+/** Writes the words of an answer that the caller has not received yet. */
 export class ChatAttempt implements Sequence {
   readonly priority: number;
   readonly prefillMs: number;
@@ -51,14 +51,14 @@
     return true;
   }
 
-  /** Last token event of a stream, as sent; empty where there is none. */
+  /** Last token event of a stream, as sent; empty if there is none. */
   get lastEvent(): string {
     return this.#writer instanceof StreamWriter ? this.#writer.lastToken : '';
   }
 
-  /** Sends an event a second time; does nothing for an answer that is not a stream. */
-  writeAgain(event: string): void {
-    if (this.#writer instanceof StreamWriter) this.#writer.writeAgain(event);
+  /** Sends an event again; does nothing if the answer is not a stream. */
+  resend(event: string): void {
+    if (this.#writer instanceof StreamWriter) this.#writer.resend(event);
   }
 
   #reason(): 'stop' | 'length' {
--- a/packages/lab/src/node/engineStandIn/chatRequest.ts
+++ b/packages/lab/src/node/engineStandIn/chatRequest.ts
@@ -1,10 +1,10 @@
-/** The part of a chat-completions request that the engine stand-in understands. */
+/** Fields of a chat-completions request that the engine stand-in supports. */
 
 import { z } from 'zod';
 
 const messageSchema = z.object({ role: z.string(), content: z.string() });
 
-/** Schema of the request body; unknown members are ignored, as engines do. */
+/** Schema of the request body; unknown fields are ignored, as real engines do. */
 export const chatRequestSchema = z.object({
   model: z.string().default('stand-in'),
   messages: z.array(messageSchema).min(1),
@@ -18,7 +18,7 @@
 
 export type ChatRequest = z.infer<typeof chatRequestSchema>;
 
-/** Tokens that a request used, in the customary shape. */
+/** Token usage of a request, in the format of the chat-completions API. */
 export interface ChatUsage {
   prompt_tokens: number;
   completion_tokens: number;
--- a/packages/lab/src/node/engineStandIn/chatWriter.ts
+++ b/packages/lab/src/node/engineStandIn/chatWriter.ts
@@ -1,4 +1,4 @@
-/** Writes an answer to the caller: as a stream of chunks, or whole at its end. */
+/** Writes an answer to the caller, as a stream of chunks or as one body at the end. */
 
 import type { ServerResponse } from 'node:http';
 import type { ChatRequest, ChatUsage } from './chatRequest.js';
@@ -7,13 +7,13 @@
 /** Why an answer ended. */
 export type FinishReason = 'stop' | 'length';
 
-/** Form in which one answer is sent. */
+/** Writes one answer. */
 export abstract class ChatWriter {
   abstract token(text: string): void;
   abstract finish(reason: FinishReason, usage: ChatUsage): void;
 }
 
-/** Creates the writer that the request asks for. */
+/** Creates a streaming or a non-streaming writer, as the request specifies. */
 export function createChatWriter(
   res: ServerResponse,
   id: string,
@@ -22,7 +22,7 @@
   return request.stream ? new StreamWriter(res, id, request) : new WholeWriter(res, id, request);
 }
 
-/** One server-sent event for each token, numbered so that a repeated event can be dropped. */
+/** Writes one server-sent event per token, numbered so that readers can drop duplicates. */
 export class StreamWriter extends ChatWriter {
   readonly #res: ServerResponse;
   readonly #id: string;
@@ -43,7 +43,7 @@
     res.flushHeaders();
   }
 
-  /** Last token event as sent, with its own number and id; empty before the first. */
+  /** Last token event as sent, with its number and id; empty before the first token. */
   get lastToken(): string {
     return this.#lastToken;
   }
@@ -58,8 +58,8 @@
     this.#res.end('data: [DONE]\n\n');
   }
 
-  /** Sends an event that was sent before, in this stream or in another. */
-  writeAgain(event: string): void {
+  /** Sends an event again that was sent earlier, in this stream or in another. */
+  resend(event: string): void {
     if (!this.#res.destroyed) this.#res.write(event);
   }
 
@@ -80,7 +80,7 @@
   }
 }
 
-/** One JSON body once the answer is complete. */
+/** Writes one JSON body when the answer is complete. */
 class WholeWriter extends ChatWriter {
   readonly #res: ServerResponse;
   readonly #id: string;
--- a/packages/lab/src/node/engineStandIn/engineStandIn.ts
+++ b/packages/lab/src/node/engineStandIn/engineStandIn.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine: continuous batching, prefix cache, resume, cancel and faults. */
+/** Stand-in for a model engine with continuous batching, prefix cache, resume, cancel and faults. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { CacheEvent } from '../../runtime/prefixCache.js';
@@ -72,8 +72,8 @@
   #eventSeq = 0;
   #fencing = -1;
   #adapters: string[] = [];
-  /** Last token event of an attempt that is over; it may still come late. */
-  #overEvent = '';
+  /** Last token event of an attempt that has ended; the fault `lateChunks` sends it again. */
+  #endedAttemptEvent = '';
   #sampler: NodeJS.Timeout | undefined;
   #restart: NodeJS.Timeout | undefined;
 
@@ -89,17 +89,17 @@
     this.#cache = this.#createCache();
   }
 
-  /** Requests in a slot now. */
+  /** Number of requests that occupy a slot. */
   get runningRequests(): number {
     return this.#scheduler.running;
   }
 
-  /** Requests waiting for a slot now. */
+  /** Number of requests that wait for a slot. */
   get waitingRequests(): number {
     return this.#scheduler.waiting;
   }
 
-  /** Switches faults; what is not named stays as it is. */
+  /** Sets the given faults; the others stay unchanged. */
   setFaults(faults: Partial<EngineFaults>): void {
     this.#faults = { ...this.#faults, ...faults };
   }
@@ -143,7 +143,7 @@
         this.#chat(req, res, await readBody(req));
         return;
       case 'POST /v1/load_lora_adapter':
-        this.#order(req, res, await readBody(req));
+        this.#loadAdapter(req, res, await readBody(req));
         return;
       case 'POST /control/faults':
         this.setFaults(parseSwitches(await readBody(req), this.#faults));
@@ -170,7 +170,7 @@
   }
 
   #chat(req: IncomingMessage, res: ServerResponse, text: string): void {
-    const refused = this.#refuse(res);
+    const refused = this.#refuseEarly(res);
     if (refused) return;
     const parsed = chatRequestSchema.safeParse(JSON.parse(text));
     if (!parsed.success) {
@@ -182,8 +182,8 @@
     this.#run(res, id, parsed.data, text.includes(this.#options.crashMarker));
   }
 
-  /** Answers requests that are refused before anything runs. */
-  #refuse(res: ServerResponse): boolean {
+  /** Refuses a request before it runs, if there is a reason; returns whether it did. */
+  #refuseEarly(res: ServerResponse): boolean {
     if (this.#faults.leaving) {
       this.counters.whileLeaving += 1;
       sendJson(res, 503, { state: 'leaving' }, { 'retry-after': RETRY_AFTER_SECONDS });
@@ -214,53 +214,53 @@
       cachedTokens,
       beforeToken: () => this.#beforeToken(poisoned),
       afterToken: () => {
-        this.#disturb(attempt);
+        this.#injectStreamFaults(attempt);
       },
       onFinish: () => {
         this.counters.finished += 1;
-        this.#overEvent = attempt.lastEvent;
+        this.#endedAttemptEvent = attempt.lastEvent;
       },
     });
     const scheduler = this.#scheduler;
     scheduler.add(attempt);
     res.on('close', () => {
-      this.#overEvent = attempt.lastEvent;
+      this.#endedAttemptEvent = attempt.lastEvent;
       if (res.writableFinished) return;
-      // the caller hung up: without this the slot would stay taken by an answer nobody reads.
+      // the caller disconnected: without this, an answer that nobody reads would occupy the slot.
       scheduler.cancel(attempt);
       this.counters.cancelled += 1;
     });
   }
 
-  /** Returns false when the engine has just crashed and nothing may be written any more. */
+  /** Returns false if the engine has just crashed and nothing more may be written. */
   #beforeToken(poisoned: boolean): boolean {
-    const left = this.#faults.crashAfterTokens;
-    if (poisoned || left === 0) {
+    const tokensLeft = this.#faults.crashAfterTokens;
+    if (poisoned || tokensLeft === 0) {
       this.crash();
       return false;
     }
-    if (left !== null) this.#faults = { ...this.#faults, crashAfterTokens: left - 1 };
+    if (tokensLeft !== null) this.#faults = { ...this.#faults, crashAfterTokens: tokensLeft - 1 };
     this.counters.tokensWritten += 1;
     return true;
   }
 
-  /** Sends events twice, or events of an attempt that is over, as a confused engine would. */
-  #disturb(attempt: ChatAttempt): void {
-    if (this.#random.chance(this.#faults.duplicateChunks)) attempt.writeAgain(attempt.lastEvent);
-    if (this.#random.chance(this.#faults.lateChunks)) attempt.writeAgain(this.#overEvent);
+  /** Injects duplicate events and late events of an attempt that has ended. */
+  #injectStreamFaults(attempt: ChatAttempt): void {
+    if (this.#random.chance(this.#faults.duplicateChunks)) attempt.resend(attempt.lastEvent);
+    if (this.#random.chance(this.#faults.lateChunks)) attempt.resend(this.#endedAttemptEvent);
   }
 
-  #order(req: IncomingMessage, res: ServerResponse, text: string): void {
+  #loadAdapter(req: IncomingMessage, res: ServerResponse, text: string): void {
     const number = Number(requestHeader(req, 'x-fencing-number') ?? Number.NaN);
-    const old = Number.isNaN(number) || number < this.#fencing;
-    if (this.#options.checksFencing && old) {
-      const message = `order carries fencing number ${number}; ${this.#fencing} was seen`;
+    const isStale = Number.isNaN(number) || number < this.#fencing;
+    if (this.#options.checksFencing && isStale) {
+      const message = `fencing number ${number} was rejected; ${this.#fencing} was already received`;
       sendJson(res, 409, { error: { message } });
       return;
     }
     if (!Number.isNaN(number)) this.#fencing = number;
-    const order = JSON.parse(text) as { lora_name?: string };
-    const name = order.lora_name ?? 'unnamed';
+    const adapter = JSON.parse(text) as { lora_name?: string };
+    const name = adapter.lora_name ?? 'unnamed';
     this.#adapters = [...this.#adapters.filter((other) => other !== name), name];
     sendJson(res, 200, { loaded: name });
   }
--- a/packages/lab/src/node/engineStandIn/main.ts
+++ b/packages/lab/src/node/engineStandIn/main.ts
@@ -1,4 +1,4 @@
-/** Runs one engine stand-in as a process of its own; a crash ends the process. */
+/** Runs one engine stand-in in its own process; a simulated crash ends the process. */
 
 import { binary, boolean, command, flag, number, option, run } from 'cmd-ts';
 import { createEngineStandIn } from './engineStandIn.js';
--- a/packages/lab/src/node/loadGenerator/callerRequest.ts
+++ b/packages/lab/src/node/loadGenerator/callerRequest.ts
@@ -1,11 +1,11 @@
-/** HTTP of the load generator's callers. */
+/** HTTP client of the load generator's callers. */
 
 import type { IncomingMessage } from 'node:http';
 import type { CallEnd, PlannedRequest } from '../../types/load.js';
 import { Agent, request as httpRequest } from 'node:http';
 import { z } from 'zod';
 
-/** What is sent. */
+/** An HTTP request to a router. */
 export interface OutgoingCall {
   method: 'GET' | 'POST';
   url: string;
@@ -26,16 +26,19 @@
   retryAfterMs: z.number().optional(),
 });
 
-/** A call that certainly reached no router. */
+/** The call certainly did not reach a router. */
 class NotSentError extends Error {}
 
-/** Sends a call; resolves once the answer's head is there, rejects when there is none. */
+/**
+ * Sends a call; resolves when the response headers arrive. Rejects if the connection fails, with
+ * {@link NotSentError} if the call certainly did not reach a router.
+ */
 export function sendCall(call: OutgoingCall): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
     const { method, headers, signal } = call;
     const req = httpRequest(call.url, { method, headers, signal, agent }, resolve);
     req.on('error', (err: NodeJS.ErrnoException) => {
-      // a kept connection that the router closed while idle resets the next call on it.
+      // a call on a keep-alive connection that the router closed while idle fails with ECONNRESET.
       const idleReset = req.reusedSocket && err.code === 'ECONNRESET';
       const notSent = idleReset || err.code === 'ECONNREFUSED';
       reject(notSent ? new NotSentError(err.message, { cause: err }) : err);
@@ -44,20 +47,20 @@
   });
 }
 
-/** End of a call that threw: it reached no router, or its connection broke. */
-export function failedEnd(err: unknown): CallEnd {
+/** Converts the error of a failed call: it reached no router, or its connection broke. */
+export function toFailureEnd(err: unknown): CallEnd {
   if (err instanceof NotSentError) return { type: 'unreachable' };
   return { type: 'broken', verdict: 'whole' };
 }
 
-/** Reads a whole body as text; rejects when the connection breaks first. */
+/** Reads a whole body as text; rejects if the connection breaks before its end. */
 export async function readText(res: IncomingMessage): Promise<string> {
   const parts: Buffer[] = [];
   for await (const part of res as AsyncIterable<Buffer>) parts.push(part);
   return Buffer.concat(parts).toString('utf8');
 }
 
-/** Headers that every call of an account carries. */
+/** Headers of a call: API key, work class, and idempotency key or ticket. */
 export function callerHeaders(
   request: PlannedRequest,
   ticket: string | undefined,
@@ -72,7 +75,7 @@
   return headers;
 }
 
-/** Turns a refusal's body into an end; a body that is none counts by its status. */
+/** Parses the body of a refusal; if it is not a problem body, the reason is the status code. */
 export function parseRefusal(text: string, res?: IncomingMessage): CallEnd {
   const problem = problemSchema.safeParse(parseJson(text)).data;
   const header = Number(res?.headers['retry-after'] ?? Number.NaN) * MS_PER_SECOND;
@@ -85,13 +88,13 @@
   };
 }
 
-/** The request's id from the head of an answer, as a part of {@link CallEnd}. */
+/** Reads the request id from the response headers, as a partial {@link CallEnd}. */
 export function requestIdOf(res: IncomingMessage): { requestId?: string } {
   const requestId = res.headers[REQUEST_ID_HEADER];
   return typeof requestId === 'string' ? { requestId } : {};
 }
 
-/** Parses JSON; `undefined` where it is none. */
+/** Parses JSON; returns `undefined` if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
--- a/packages/lab/src/node/loadGenerator/chatCall.ts
+++ b/packages/lab/src/node/loadGenerator/chatCall.ts
@@ -1,4 +1,4 @@
-/** One attempt of a chat call, checked word by word against the answer it must get. */
+/** Sends one attempt of a chat call and compares the answer with the expected one, word by word. */
 
 import type { IncomingMessage } from 'node:http';
 import type { CallEnd, ChatMix, PlannedRequest, ReportedUsage } from '../../types/load.js';
@@ -35,7 +35,7 @@
   usage: usageSchema.nullish(),
 });
 
-/** A stream as far as it was read. */
+/** State of a stream that is being read. */
 interface StreamState {
   text: string;
   tokens: number;
@@ -45,7 +45,7 @@
   refusal?: CallEnd;
 }
 
-/** Sends a chat call to one router and judges what comes back. */
+/** Sends a chat call to one router and checks the answer. */
 export async function callChat(
   url: string,
   request: PlannedRequest & { item: ChatMix },
@@ -97,7 +97,7 @@
     onEvent: ({ event, data }) => {
       if (event === 'error') state.refusal = parseRefusal(data);
       else if (data === '[DONE]') state.done = true;
-      else takeChunk(state, data);
+      else addChunk(state, data);
     },
   });
   res.setEncoding('utf8');
@@ -108,26 +108,26 @@
       if (request.behaviour === 'hang-up' && state.tokens >= request.hangUpAfter) break;
     }
   } catch {
-    // a connection that breaks shows as a stream without its final event
+    // a broken connection is detected below as a stream without its final event.
   }
   res.destroy();
-  return streamEnd(state, request, expected);
+  return toStreamEnd(state, request, expected);
 }
 
-function streamEnd(state: StreamState, request: PlannedRequest, expected: string): CallEnd {
+function toStreamEnd(state: StreamState, request: PlannedRequest, expected: string): CallEnd {
   if (state.done) {
     const verdict = checkAnswer(expected, state.text);
     const usage = state.usage ? { usage: state.usage } : {};
     return { type: 'answer', verdict, firstAt: state.firstAt, ...usage };
   }
   const verdict = checkBeginning(expected, state.text);
-  // words that are not the caller's own weigh more than the refusal that follows them.
+  // words of another answer are reported even if a refusal follows them.
   if (state.refusal && verdict === 'whole') return state.refusal;
   const hungUp = request.behaviour === 'hang-up' && state.tokens >= request.hangUpAfter;
   return { type: hungUp ? 'hung-up' : 'broken', verdict };
 }
 
-function takeChunk(state: StreamState, data: string): void {
+function addChunk(state: StreamState, data: string): void {
   const chunk = chunkSchema.safeParse(parseJson(data)).data;
   if (!chunk) return;
   const content = chunk.choices[0]?.delta?.content;
--- a/packages/lab/src/node/loadGenerator/runLoad.ts
+++ b/packages/lab/src/node/loadGenerator/runLoad.ts
@@ -1,4 +1,4 @@
-/** Load generator: arrivals that do not wait for answers, by callers that retry and check. */
+/** Open-loop load generator whose callers retry requests and check the answers. */
 
 import type { CallEnd, LoadOptions, LoadResult, PlannedRequest } from '../../types/load.js';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -7,7 +7,7 @@
 import { LoadRecorder } from '../../runtime/loadRecorder.js';
 import {
   callerHeaders,
-  failedEnd,
+  toFailureEnd,
   parseJson,
   parseRefusal,
   readText,
@@ -33,7 +33,7 @@
 const ticketSchema = z.object({ ticket: z.string() });
 
 /**
- * Runs the load and waits for the last answer.
+ * Runs the load; resolves when all requests have ended.
  *
  * @example
  * const result = await runLoad({ targets, accounts, mix, ratePerSecond: 20, seconds: 10, seed: 3 });
@@ -70,7 +70,7 @@
   const caller: Caller = { settings, request, ticket: undefined };
   let end: CallEnd = { type: 'unreachable' };
   for (let attempt = 0; attempt < settings.maxAttempts; attempt += 1) {
-    end = await callOnce(caller, attempt);
+    end = await callNextRouter(caller, attempt);
     recorder.attempt(request, attempt, end);
     settings.onAttempt?.(request, end);
     const waitMs = retryWaitMs(request, end, settings);
@@ -80,18 +80,18 @@
   recorder.finished(request, end, startedAt, performance.now());
 }
 
-/** A request with the ticket that all its attempts carry. */
-export interface NamedRequest {
+/** A request with the ticket that all its attempts send. */
+export interface TicketedRequest {
   request: PlannedRequest;
   ticket: string | undefined;
 }
 
-interface Caller extends NamedRequest {
+interface Caller extends TicketedRequest {
   settings: Settings;
 }
 
-/** One attempt at the next router in turn; never throws. */
-function callOnce(caller: Caller, attempt: number): Promise<CallEnd> {
+/** Sends one attempt to the next router in round-robin order; never throws. */
+function callNextRouter(caller: Caller, attempt: number): Promise<CallEnd> {
   const { request, settings } = caller;
   const { targets } = settings;
   const url = targets[(request.firstTarget + attempt) % targets.length]?.url ?? '';
@@ -99,28 +99,28 @@
 }
 
 /**
- * Sends a request to one router; never throws. Takes a ticket first where the request needs one and
- * the caller has none yet.
+ * Sends a request to one router; never throws. First obtains a ticket if the request needs one and
+ * has none yet.
  */
 export async function callRouter(
-  caller: NamedRequest,
+  caller: TicketedRequest,
   url: string,
   timeoutMs: number,
 ): Promise<CallEnd> {
   const signal = AbortSignal.timeout(timeoutMs);
   try {
     if (caller.request.item.naming === 'ticket' && caller.ticket === undefined) {
-      const refusal = await takeTicket(caller, url, signal);
+      const refusal = await obtainTicket(caller, url, signal);
       if (refusal) return refusal;
     }
     return await dispatch(caller, url, signal);
   } catch (err) {
-    return failedEnd(err);
+    return toFailureEnd(err);
   }
 }
 
 function dispatch(
-  { request, ticket }: NamedRequest,
+  { request, ticket }: TicketedRequest,
   url: string,
   signal: AbortSignal,
 ): Promise<CallEnd> {
@@ -129,9 +129,9 @@
   return callService(url, { ...request, item }, ticket, signal);
 }
 
-/** Takes a ticket once; all attempts then carry it. Returns the refusal where there is one. */
-async function takeTicket(
-  caller: NamedRequest,
+/** Obtains a ticket, which all attempts then send. Returns the refusal if the router refuses it. */
+async function obtainTicket(
+  caller: TicketedRequest,
   url: string,
   signal: AbortSignal,
 ): Promise<CallEnd | undefined> {
@@ -144,7 +144,7 @@
   return undefined;
 }
 
-/** Time until an ordinary client tries again; `undefined` where it gives up. */
+/** Delay before the next attempt in milliseconds; `undefined` if the caller does not retry. */
 function retryWaitMs(
   { item }: PlannedRequest,
   end: CallEnd,
@@ -155,7 +155,7 @@
     case 'hung-up':
       return undefined;
     case 'broken':
-      // a repeated entry without a name could not be told from a second entry.
+      // without a key or ticket, a retried entry could run as a second entry.
       return item.type === 'entry' && item.naming === 'none' ? undefined : RECONNECT_MS;
     case 'unreachable':
       return RECONNECT_MS;
@@ -165,7 +165,7 @@
   }
 }
 
-/** Waits until an arrival is due; false when the run was ended early. */
+/** Waits until an arrival is due; returns false if the run was aborted. */
 async function waitForArrival(at: number, signal: AbortSignal | undefined): Promise<boolean> {
   const waitMs = at - performance.now();
   if (waitMs > 0) await delay(waitMs, undefined, signal ? { signal } : {}).catch(() => undefined);
--- a/packages/lab/src/node/loadGenerator/serviceCall.ts
+++ b/packages/lab/src/node/loadGenerator/serviceCall.ts
@@ -1,4 +1,4 @@
-/** One attempt of a plain service call, checked to be the answer to this very request. */
+/** Sends one attempt of a plain service call and checks that the answer belongs to this request. */
 
 import type { AnswerVerdict } from '../../runtime/answerCheck.js';
 import type { CallEnd, PlannedRequest, ServiceMix } from '../../types/load.js';
@@ -16,7 +16,7 @@
 const entrySchema = z.object({ entry: z.object({ key: z.string(), caller: z.string() }) });
 const FIRST_ERROR_STATUS = 400;
 
-/** Sends a read or an entry to one router and judges what comes back. */
+/** Sends a read or an entry to one router and checks the answer. */
 export async function callService(
   url: string,
   request: PlannedRequest & { item: ServiceMix },
@@ -32,7 +32,7 @@
       : await sendCall({ method: 'POST', url: base, headers, body: entryBody(request), signal });
   const text = await readText(res);
   if ((res.statusCode ?? 0) >= FIRST_ERROR_STATUS) return parseRefusal(text, res);
-  const verdict = type === 'read' ? judgeRead(request, text) : judgeEntry(request, text);
+  const verdict = type === 'read' ? checkRead(request, text) : checkEntry(request, text);
   return { type: 'answer', verdict, firstAt: performance.now(), ...requestIdOf(res) };
 }
 
@@ -44,15 +44,15 @@
   });
 }
 
-function judgeRead(request: PlannedRequest, text: string): AnswerVerdict {
+function checkRead(request: PlannedRequest, text: string): AnswerVerdict {
   const answer = readSchema.safeParse(parseJson(text)).data;
   if (!answer) return 'cut';
   return answer.query.caller === request.key ? 'whole' : 'mixed';
 }
 
-function judgeEntry(request: PlannedRequest, text: string): AnswerVerdict {
+function checkEntry(request: PlannedRequest, text: string): AnswerVerdict {
   const answer = entrySchema.safeParse(parseJson(text)).data;
   if (!answer) return 'cut';
-  const own = answer.entry.key === request.key && answer.entry.caller === request.account.name;
-  return own ? 'whole' : 'mixed';
+  const isOwn = answer.entry.key === request.key && answer.entry.caller === request.account.name;
+  return isOwn ? 'whole' : 'mixed';
 }
--- a/packages/lab/src/node/plainServiceStandIn/main.ts
+++ b/packages/lab/src/node/plainServiceStandIn/main.ts
@@ -1,4 +1,4 @@
-/** Runs one plain service stand-in as a process of its own. */
+/** Runs one plain service stand-in in its own process. */
 
 import { binary, command, number, option, run } from 'cmd-ts';
 import { createPlainServiceStandIn } from './plainServiceStandIn.js';
--- a/packages/lab/src/node/plainServiceStandIn/plainServiceStandIn.ts
+++ b/packages/lab/src/node/plainServiceStandIn/plainServiceStandIn.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a plain service: reads, and entries whose every run is recorded. */
+/** Stand-in for a plain service that answers reads and records each run of an entry. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Random } from '../../runtime/random.js';
@@ -52,17 +52,17 @@
     this.records = options.records ?? createServiceRecords();
   }
 
-  /** Switches faults; what is not named stays as it is. */
+  /** Sets the given faults; the others stay unchanged. */
   setFaults(faults: Partial<PlainServiceFaults>): void {
     this.#faults = { ...this.#faults, ...faults };
   }
 
-  /** Calls that this server has taken in, refused ones left out. */
+  /** Number of calls that this server has accepted; refused calls are not counted. */
   get served(): number {
     return this.#served;
   }
 
-  /** Runs of calls with this caller key; more than one is a double entry. */
+  /** Runs with this caller key; more than one is a duplicate entry. */
   runsOf(callerKey: string): ServiceRun[] {
     return this.records.runs.filter((run) => run.callerKey === callerKey);
   }
@@ -138,7 +138,8 @@
     const value = JSON.parse(body) as { key?: string };
     const number = this.#record(req, url.pathname, value);
     if (breakAt === 'after-run') {
-      // the entry stands and its reply is lost, which the caller cannot tell from a call never run.
+      // the entry is recorded but its reply is lost; the caller cannot distinguish this from a call
+      // that never ran.
       res.destroy();
       return;
     }
--- a/packages/lab/src/node/platformStandIn/controlHandler.ts
+++ b/packages/lab/src/node/platformStandIn/controlHandler.ts
@@ -1,17 +1,17 @@
-/** Control calls of the platform stand-in, on the operators' listener. */
+/** Control routes of the platform stand-in, served on the operators' listener. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { EntranceFaults } from './entranceFaults.js';
 import type { ControlHandler } from './entrance.js';
 import type { PlatformStandIn } from './platformStandIn.js';
 import { z } from 'zod';
-import { faultOrderSchema } from './entranceFaults.js';
+import { faultCommandSchema } from './entranceFaults.js';
 import { readBody, sendFault, sendJson } from './httpReplies.js';
 
 const maxControlBytes = 1_048_576;
 
-/** Body of `POST /control/instances`: the whole list of one service. */
-const instancesOrderSchema = z.object({
+/** Body of `POST /control/instances`: the complete instance list of one service. */
+const instancesCommandSchema = z.object({
   service: z.string(),
   items: z.array(
     z.object({
@@ -33,10 +33,10 @@
         sendJson(res, 200, JSON.stringify(standIn.state()));
         return true;
       case 'POST /control/faults':
-        void takeOrder(req, res, (body) => orderFaults(standIn, body));
+        void handleCommand(req, res, (body) => applyFaults(standIn, body));
         return true;
       case 'POST /control/instances':
-        void takeOrder(req, res, (body) => orderInstances(standIn, body));
+        void handleCommand(req, res, (body) => applyInstances(standIn, body));
         return true;
       default:
         return false;
@@ -44,14 +44,14 @@
   };
 }
 
-async function takeOrder(
+async function handleCommand(
   req: IncomingMessage,
   res: ServerResponse,
-  order: (body: unknown) => string | undefined,
+  apply: (body: unknown) => string | undefined,
 ): Promise<void> {
   try {
     const body = await readBody(req, maxControlBytes);
-    const problem = order(JSON.parse(body ?? ''));
+    const problem = apply(JSON.parse(body ?? ''));
     if (problem === undefined) sendJson(res, 200, '{}');
     else sendFault(res, 400, problem);
   } catch {
@@ -59,19 +59,19 @@
   }
 }
 
-function orderFaults(standIn: PlatformStandIn, body: unknown): string | undefined {
-  const order = faultOrderSchema.safeParse(body);
-  if (!order.success) return z.prettifyError(order.error);
-  const { dataCentre, ...switches } = order.data;
+function applyFaults(standIn: PlatformStandIn, body: unknown): string | undefined {
+  const command = faultCommandSchema.safeParse(body);
+  if (!command.success) return z.prettifyError(command.error);
+  const { dataCentre, ...switches } = command.data;
   const faults = Object.fromEntries(
     Object.entries(switches).filter(([, value]) => value !== undefined),
   ) as Partial<EntranceFaults>;
   return standIn.setFaults(dataCentre, faults) ? undefined : `no data centre "${dataCentre}"`;
 }
 
-function orderInstances(standIn: PlatformStandIn, body: unknown): string | undefined {
-  const order = instancesOrderSchema.safeParse(body);
-  if (!order.success) return z.prettifyError(order.error);
-  standIn.setInstances(order.data.service, order.data.items);
+function applyInstances(standIn: PlatformStandIn, body: unknown): string | undefined {
+  const command = instancesCommandSchema.safeParse(body);
+  if (!command.success) return z.prettifyError(command.error);
+  standIn.setInstances(command.data.service, command.data.items);
   return undefined;
 }
--- a/packages/lab/src/node/platformStandIn/entrance.ts
+++ b/packages/lab/src/node/platformStandIn/entrance.ts
@@ -1,4 +1,4 @@
-/** One entrance of the platform stand-in: the listener that one data centre reaches. */
+/** One entrance of the platform stand-in: the HTTP listener for one data centre or for operators. */
 
 import type { CallKind, ObjectTable } from '@flamingocourse/store';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -9,16 +9,16 @@
 import type { RateLimit } from './rateLimit.js';
 import { createServer } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
-import { createEntranceFaults, takeLostReply } from './entranceFaults.js';
+import { createEntranceFaults, consumeLostReply } from './entranceFaults.js';
 import { objectJson, readBody, sendFault, sendJson, sendTableFault } from './httpReplies.js';
 import { parseObjectRequest } from './objectRequest.js';
 import { takeCall } from './rateLimit.js';
 import { WatchHub } from './watchHub.js';
 
-/** Room in a body beside the value itself. */
+/** Bytes that a request body may contain in addition to the value. */
 const envelopeBytes = 64 * 1024;
 
-/** What all entrances share. */
+/** State and settings that all entrances share. */
 export interface StandInShared {
   table: ObjectTable;
   instances: LaggingInstances;
@@ -33,7 +33,7 @@
 /** Handles control calls; returns false for any other path. */
 export type ControlHandler = (req: IncomingMessage, res: ServerResponse) => boolean;
 
-/** Answers calls of one data centre, or of the operators. */
+/** Answers the calls of one data centre, or of the operators. */
 export class Entrance {
   readonly faults: EntranceFaults = createEntranceFaults();
   readonly counters: Record<CallKind, number> = {
@@ -48,12 +48,12 @@
   readonly server: Server;
   readonly #shared: StandInShared;
   readonly #watches: WatchHub;
-  /** Requests taken during a silent outage. */
-  readonly #held = new Set<ServerResponse>();
+  /** Responses to requests that were received during a silent outage. */
+  readonly #unanswered = new Set<ServerResponse>();
 
   constructor(shared: StandInShared, control?: ControlHandler) {
     this.#shared = shared;
-    this.#watches = new WatchHub(shared.table, shared.bookmarkMs, () => this.#isMute());
+    this.#watches = new WatchHub(shared.table, shared.bookmarkMs, () => this.#isSilent());
     this.server = createServer((req, res) => {
       if (control?.(req, res)) return;
       this.#handle(req, res).catch(() => res.destroy());
@@ -64,17 +64,17 @@
     return this.#watches.size;
   }
 
-  /** Changes fault switches; ends what the old setting held back. */
+  /** Changes fault switches; sends or closes what the previous faults blocked. */
   setFaults(faults: Partial<EntranceFaults>): void {
     Object.assign(this.faults, faults);
-    if (this.faults.outage === 'refuse') this.#watches.breakAll();
-    if (this.faults.outage !== 'silent') this.#breakHeld();
-    this.#watches.pump();
+    if (this.faults.outage === 'refuse') this.#watches.disconnectAll();
+    if (this.faults.outage !== 'silent') this.#closeUnanswered();
+    this.#watches.sendPending();
   }
 
   close(): Promise<void> {
     this.#watches.close();
-    this.#breakHeld();
+    this.#closeUnanswered();
     return new Promise((resolve) => {
       this.server.close(() => {
         resolve();
@@ -83,13 +83,13 @@
     });
   }
 
-  #isMute(): boolean {
+  #isSilent(): boolean {
     return this.faults.freezeWatch || this.faults.outage !== 'none';
   }
 
-  #breakHeld(): void {
-    for (const res of this.#held) res.destroy();
-    this.#held.clear();
+  #closeUnanswered(): void {
+    for (const res of this.#unanswered) res.destroy();
+    this.#unanswered.clear();
   }
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -98,16 +98,16 @@
     if (request.type !== 'bad') this.counters[request.type] += 1;
     if (this.faults.latencyMs > 0) await delay(this.faults.latencyMs);
     if (this.faults.outage === 'silent') {
-      this.#held.add(res);
-      res.on('close', () => this.#held.delete(res));
+      this.#unanswered.add(res);
+      res.on('close', () => this.#unanswered.delete(res));
       return;
     }
     if (this.faults.outage === 'refuse') sendFault(res, 503, 'outage');
-    else if (this.#passesRate(request)) this.#answer(request, res);
+    else if (this.#isWithinRateLimit(request)) this.#answer(request, res);
     else sendFault(res, 429, 'over the rate');
   }
 
-  #passesRate(request: ObjectRequest): boolean {
+  #isWithinRateLimit(request: ObjectRequest): boolean {
     const isWrite = ['create', 'update', 'remove'].includes(request.type);
     return takeCall(isWrite ? this.#shared.writes : this.#shared.reads, this.#shared.now());
   }
@@ -157,7 +157,7 @@
     res: ServerResponse,
   ): void {
     const result = this.#apply(request);
-    if (takeLostReply(this.faults, this.#shared.random)) {
+    if (consumeLostReply(this.faults, this.#shared.random)) {
       res.destroy();
       return;
     }
--- a/packages/lab/src/node/platformStandIn/entranceFaults.ts
+++ b/packages/lab/src/node/platformStandIn/entranceFaults.ts
@@ -4,32 +4,35 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { z } from 'zod';
 
-/** Schema of the switches; a switch that is left out keeps its setting. */
+/** Schema of the fault switches. */
 export const entranceFaultsSchema = z.object({
-  /** `refuse`: 503 at once. `silent`: connections are taken and never answered. */
+  /** `refuse`: answers 503 at once. `silent`: accepts connections and never answers. */
   outage: z.enum(['none', 'refuse', 'silent']),
-  /** Milliseconds before each call is handled. */
+  /** Delay before each call is handled, in milliseconds. */
   latencyMs: z.number().min(0),
-  /** From 1: that many coming writes lose their reply. Below 1: probability for each write. */
+  /**
+   * 1 or more: number of writes, starting with the next, whose reply is lost. Below 1: probability
+   * that the reply to a write is lost.
+   */
   lostReplies: z.number().min(0),
-  /** Watches stay open and say nothing. */
+  /** Watches stay open but send nothing. */
   freezeWatch: z.boolean(),
 });
 
 export type EntranceFaults = z.infer<typeof entranceFaultsSchema>;
 
-/** Body of `POST /control/faults`. */
-export const faultOrderSchema = entranceFaultsSchema
+/** Body of `POST /control/faults`; an omitted switch keeps its value. */
+export const faultCommandSchema = entranceFaultsSchema
   .partial()
   .extend({ dataCentre: z.string().default('all') });
 
-/** An entrance without faults. */
+/** Returns switches that are all off. */
 export function createEntranceFaults(): EntranceFaults {
   return { outage: 'none', latencyMs: 0, lostReplies: 0, freezeWatch: false };
 }
 
-/** Decides whether a write's reply gets lost, and counts it off. */
-export function takeLostReply(faults: EntranceFaults, random: RandomGenerator): boolean {
+/** Returns whether the reply to a write is lost, and decrements the number of lost replies. */
+export function consumeLostReply(faults: EntranceFaults, random: RandomGenerator): boolean {
   if (faults.lostReplies === 0) return false;
   if (faults.lostReplies < 1) return uniformFloat64(random) < faults.lostReplies;
   faults.lostReplies -= 1;
--- a/packages/lab/src/node/platformStandIn/httpReplies.ts
+++ b/packages/lab/src/node/platformStandIn/httpReplies.ts
@@ -1,4 +1,4 @@
-/** Reading of request bodies and writing of replies for the platform stand-in. */
+/** Reads request bodies and writes replies of the platform stand-in. */
 
 import type { StoredObject, TableFault } from '@flamingocourse/store';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -11,7 +11,7 @@
   'too-old': 410,
 };
 
-/** Reads a body; `undefined` when it is longer than the limit. */
+/** Reads a body as text; returns `undefined` if it exceeds the limit. */
 export async function readBody(
   req: IncomingMessage,
   maxBytes: number,
@@ -41,19 +41,19 @@
   res.end(json);
 }
 
-/** Sends an error with the customary body. */
+/** Sends an error with a JSON body; 429 and 503 also get a `retry-after` header. */
 export function sendFault(res: ServerResponse, status: number, reason: string): void {
   const headers: Record<string, string> =
     status === 429 || status === 503 ? { 'retry-after': '1' } : {};
   sendJson(res, status, JSON.stringify({ status, reason, message: reason }), headers);
 }
 
-/** Sends the fault of a table operation. */
+/** Sends the error of a table operation. */
 export function sendTableFault(res: ServerResponse, fault: TableFault): void {
   sendFault(res, statusByFault[fault], fault);
 }
 
-/** JSON text of an object on the wire. */
+/** Serializes an object as the API returns it. */
 export function objectJson({ name, version, json }: StoredObject): string {
   const metadata = JSON.stringify({ name, resourceVersion: version });
   return `{"metadata":${metadata},"value":${json}}`;
--- a/packages/lab/src/node/platformStandIn/laggingInstances.ts
+++ b/packages/lab/src/node/platformStandIn/laggingInstances.ts
@@ -1,4 +1,4 @@
-/** Instance list that shows each change only after a lag. */
+/** Instance list whose changes become visible after a delay. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 
@@ -8,7 +8,7 @@
   items: InstanceRecord[];
 }
 
-/** Instances by service, as the platform shows them. */
+/** Instances by service, as the platform returns them. */
 export class LaggingInstances {
   readonly #lagMs: number;
   readonly #visible = new Map<string, InstanceRecord[]>();
@@ -18,24 +18,24 @@
     this.#lagMs = lagMs;
   }
 
-  /** Replaces the list of a service; visible after the lag. */
+  /** Replaces the list of a service; the change is visible after the delay. */
   replace(service: string, items: InstanceRecord[], now: number): void {
     this.#pending.push({ visibleAt: now + this.#lagMs, service, items });
   }
 
-  /** What the list shows of a service at present. */
+  /** Returns the visible instances of a service. */
   list(service: string, now: number): InstanceRecord[] {
-    this.#settle(now);
+    this.#applyDue(now);
     return this.#visible.get(service) ?? [];
   }
 
-  /** What the list shows of all services. */
+  /** Returns the visible instances of all services. */
   all(now: number): InstanceRecord[] {
-    this.#settle(now);
+    this.#applyDue(now);
     return [...this.#visible.values()].flat();
   }
 
-  #settle(now: number): void {
+  #applyDue(now: number): void {
     const due = this.#pending.filter((change) => change.visibleAt <= now);
     this.#pending = this.#pending.filter((change) => change.visibleAt > now);
     for (const change of due) this.#visible.set(change.service, change.items);
--- a/packages/lab/src/node/platformStandIn/main.ts
+++ b/packages/lab/src/node/platformStandIn/main.ts
@@ -1,4 +1,4 @@
-/** Runs the platform stand-in as a process of its own. */
+/** Runs the platform stand-in in its own process. */
 
 import { array, command, multioption, number, option, run, string } from 'cmd-ts';
 import { createPlatformStandIn } from './platformStandIn.js';
--- a/packages/lab/src/node/platformStandIn/objectRequest.ts
+++ b/packages/lab/src/node/platformStandIn/objectRequest.ts
@@ -1,4 +1,4 @@
-/** Turns an HTTP request into an operation of the Object API. */
+/** Parses HTTP requests into operations of the Object API. */
 
 import { z } from 'zod';
 
@@ -24,7 +24,7 @@
 
 const bad = (status: number, reason: string): ObjectRequest => ({ type: 'bad', status, reason });
 
-/** Parses method, path and body; `body` is undefined when it was too long. */
+/** Parses method, path and body; `body` is `undefined` if it exceeded the limit. */
 export function parseObjectRequest(
   method: string,
   path: string,
--- a/packages/lab/src/node/platformStandIn/platformStandIn.ts
+++ b/packages/lab/src/node/platformStandIn/platformStandIn.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: one store and instance list behind one listener per data centre. */
+/** Stand-in for the platform: one object store and instance list, with a listener per data centre. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { Server } from 'node:http';
@@ -12,34 +12,34 @@
 import { LaggingInstances } from './laggingInstances.js';
 import { createRateLimit } from './rateLimit.js';
 
-/** Name of the entrance that operators and controls use. */
+/** Name of the entrance for operators and control requests. */
 export const operatorsEntrance = 'operators';
 
 /** Options of the stand-in. */
 export interface PlatformStandInOptions {
-  /** Port for each data centre; 0 takes a free one. */
+  /** Port for each data centre; 0 selects a free one. */
   listenPorts: Record<string, number>;
   /** @default 0 */
   operatorsPort?: number;
   /** @default '127.0.0.1' */
   host?: string;
-  /** Seed of random faults. @default 1 */
+  /** Seed of the random faults. @default 1 */
   seed?: number;
   /** @default 2000 */
   readsPerSecond?: number;
   /** @default 400 */
   writesPerSecond?: number;
-  /** Milliseconds until the instance list shows a change. @default 1000 */
+  /** Delay of changes to the instance list, in milliseconds. @default 1000 */
   instanceLagMs?: number;
-  /** Changes that a watch can resume from. @default 1000 */
+  /** Number of past changes from which a watch can resume. @default 1000 */
   historyLength?: number;
   /** @default 1048576 */
   maxValueBytes?: number;
-  /** Milliseconds between bookmarks on a watch. @default 1000 */
+  /** Interval between bookmarks on a watch, in milliseconds. @default 1000 */
   bookmarkMs?: number;
 }
 
-/** What `GET /control/state` shows. */
+/** Response of `GET /control/state`. */
 export interface StandInState {
   version: string;
   collections: ReturnType<ObjectTable['dump']>;
@@ -57,7 +57,10 @@
   /** Base URL for operators and for `/control/...`. */
   operatorsUrl: string;
   table: ObjectTable;
-  /** Sets fault switches of one data centre, of `operators`, or of `all` data centres. */
+  /**
+   * Sets fault switches of one data centre, of `operators`, or of `all` data centres. Returns false
+   * if the name is unknown.
+   */
   setFaults(dataCentre: string, faults: Partial<EntranceFaults>): boolean;
   setInstances(service: string, items: InstanceRecord[]): void;
   state(): StandInState;
--- a/packages/lab/src/node/platformStandIn/rateLimit.ts
+++ b/packages/lab/src/node/platformStandIn/rateLimit.ts
@@ -1,6 +1,6 @@
-/** Token bucket for the platform's rates. */
+/** Token bucket that limits the platform's call rates. */
 
-/** State of a bucket that holds at most one second's worth of calls. */
+/** State of a token bucket whose capacity is one second of calls. */
 export interface RateLimit {
   perSecond: number;
   available: number;
@@ -8,12 +8,12 @@
   at: number;
 }
 
-/** A full bucket. */
+/** Returns a full bucket. */
 export function createRateLimit(perSecond: number, now: number): RateLimit {
   return { perSecond, available: perSecond, at: now };
 }
 
-/** Takes one call out of the bucket; false when the rate is passed. */
+/** Takes one token from the bucket; returns false if the rate is exceeded. */
 export function takeCall(limit: RateLimit, now: number): boolean {
   const gained = ((now - limit.at) / 1_000) * limit.perSecond;
   limit.available = Math.min(limit.perSecond, limit.available + gained);
--- a/packages/lab/src/node/platformStandIn/watchHub.ts
+++ b/packages/lab/src/node/platformStandIn/watchHub.ts
@@ -12,24 +12,24 @@
 }
 
 /**
- * Sends changes to waiting watches. Each watch has a cursor, so what a fault held back is sent once
- * the fault is over.
+ * Sends changes to open watches. Each watch has a cursor, so that changes which a fault held back are
+ * sent when the fault ends.
  */
 export class WatchHub {
   readonly #table: ObjectTable;
-  readonly #isMute: () => boolean;
+  readonly #isSilent: () => boolean;
   readonly #watchers = new Set<Watcher>();
   readonly #unsubscribe: () => void;
   readonly #bookmarkTimer: NodeJS.Timeout;
 
   constructor(table: ObjectTable, bookmarkMs: number, isMute: () => boolean) {
     this.#table = table;
-    this.#isMute = isMute;
+    this.#isSilent = isMute;
     this.#unsubscribe = table.subscribe(() => {
-      this.pump();
+      this.sendPending();
     });
     this.#bookmarkTimer = setInterval(() => {
-      this.pump();
+      this.sendPending();
       this.#sendBookmarks();
     }, bookmarkMs);
   }
@@ -38,24 +38,24 @@
     return this.#watchers.size;
   }
 
-  /** Takes a watch in; the caller has checked that its version is not too old. */
+  /** Adds a watch; the caller has checked that the history still covers its version. */
   add(res: ServerResponse, collection: string, from: string): void {
     res.writeHead(200, { 'content-type': 'application/json' });
     res.flushHeaders();
     const watcher = { res, collection, cursor: from };
     this.#watchers.add(watcher);
     res.on('close', () => this.#watchers.delete(watcher));
-    this.pump();
+    this.sendPending();
   }
 
-  /** Sends what is due. */
-  pump(): void {
-    if (this.#isMute()) return;
-    for (const watcher of this.#watchers) this.#pumpOne(watcher);
+  /** Sends all changes that the watches have not received yet. */
+  sendPending(): void {
+    if (this.#isSilent()) return;
+    for (const watcher of this.#watchers) this.#sendChanges(watcher);
   }
 
-  /** Breaks all connections. */
-  breakAll(): void {
+  /** Destroys the connections of all watches. */
+  disconnectAll(): void {
     for (const { res } of this.#watchers) res.destroy();
     this.#watchers.clear();
   }
@@ -63,10 +63,10 @@
   close(): void {
     clearInterval(this.#bookmarkTimer);
     this.#unsubscribe();
-    this.breakAll();
+    this.disconnectAll();
   }
 
-  #pumpOne(watcher: Watcher): void {
+  #sendChanges(watcher: Watcher): void {
     const changes = this.#table.changesSince(watcher.collection, watcher.cursor);
     if (changes.isErr) {
       watcher.res.end();
@@ -79,7 +79,7 @@
   }
 
   #sendBookmarks(): void {
-    if (this.#isMute()) return;
+    if (this.#isSilent()) return;
     for (const watcher of this.#watchers) {
       watcher.cursor = this.#table.version;
       const metadata = { resourceVersion: watcher.cursor };
--- a/packages/lab/src/node/prove/twins.ts
+++ b/packages/lab/src/node/prove/twins.ts
@@ -2,7 +2,7 @@
 
 import type { PlannedRequest } from '../../types/load.js';
 import type { CallerLog } from './callerLog.js';
-import type { NamedRequest } from '../loadGenerator/index.js';
+import type { TicketedRequest } from '../loadGenerator/index.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom } from '../../runtime/random.js';
 import { callRouter } from '../loadGenerator/index.js';
@@ -56,7 +56,7 @@
 }
 
 async function sendTwins({ entryUrls, log }: TwinOptions, request: PlannedRequest): Promise<void> {
-  const caller: NamedRequest = { request, ticket: undefined };
+  const caller: TicketedRequest = { request, ticket: undefined };
   const send = async (place: number): Promise<void> => {
     const url = entryUrls[(request.firstTarget + place) % entryUrls.length] ?? '';
     log.add(request, await callRouter(caller, url, TIMEOUT_MS));
--- a/packages/lab/src/types/demo.ts
+++ b/packages/lab/src/types/demo.ts
@@ -10,17 +10,17 @@
 /** Options of {@link runDemo}. */
 export interface DemoOptions {
   deployment: DeploymentName;
-  /** Time over which requests arrive. */
+  /** Seconds during which requests arrive. */
   seconds: number;
   ratePerSecond: number;
   seed: number;
   /** Keeps everything running after the load until the signal is aborted. */
   keep: boolean;
-  /** Where settings and logs of the routers go. */
+  /** Directory for the settings and logs of the routers. */
   directory: string;
-  /** Puts the declarations in force. @default `flamingocourse apply` over the examples */
+  /** Applies the declarations. @default `flamingocourse apply` over the examples */
   apply?: (platformUrl: string) => Promise<void>;
-  /** How a router is run. @default the flamingocourse-router binary of this workspace */
+  /** Command that runs a router. @default the flamingocourse-router binary of this workspace */
   routerCommand?: FleetRunnerOptions['command'];
   /** Ends the demo early. */
   signal: AbortSignal;
@@ -33,7 +33,7 @@
   load: LoadResult;
   spend: SpendRow[];
   entries: EntryAudit;
-  /** Broken promises in words; empty when all held. */
+  /** Descriptions of broken promises; empty if none was broken. */
   violations: string[];
   report: ReportDocument;
 }
--- a/packages/lab/src/types/fleetRunner.ts
+++ b/packages/lab/src/types/fleetRunner.ts
@@ -1,9 +1,9 @@
-/** Router processes that the lab starts, stops and disturbs. */
+/** Options and states of the router processes that the lab starts, stops and injects faults into. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { Network } from '../node/network/index.js';
 
-/** Where one router runs. */
+/** Instance name and data centre of one router. */
 export interface RouterSlot {
   instance: string;
   dataCentre: string;
@@ -12,7 +12,7 @@
 /** State of a router process. */
 export type RouterProcessState = 'stopped' | 'running' | 'frozen';
 
-/** How to run a router with a settings file. */
+/** Executable and arguments that run a router with a settings file. */
 export interface RouterCommand {
   file: string;
   args: string[];
@@ -21,20 +21,20 @@
 /** Options of {@link FleetRunner}. */
 export interface FleetRunnerOptions {
   slots: RouterSlot[];
-  /** Base URL of the platform as seen from each data centre. */
+  /** Base URL of the platform for each data centre. */
   platformUrls: Record<string, string>;
   /** Directory for settings files and logs; it must exist. */
   directory: string;
-  /** Told the live routers after each start and end, for the platform's instance list. */
+  /** Called with the live routers after each start and exit, to update the instance list. */
   onInstances?: (records: InstanceRecord[]) => void;
-  /** Puts relays between data centres; `platformUrls` are then relays of it too. */
+  /** Relays between the data centres; `platformUrls` must then be relays of this network too. */
   network?: Network;
-  /** Settings of one router that differ from the defaults, by section. */
+  /** Settings of one router that override the defaults, by section. */
   settings?: (slot: RouterSlot, index: number) => Record<string, unknown>;
   /** @default the flamingocourse-router binary of this workspace */
   command?: (settingsFile: string) => RouterCommand;
-  /** Longest wait for `GET /readyz`, in milliseconds. @default 15000 */
+  /** Time limit for a successful `GET /readyz`, in milliseconds. @default 15000 */
   readyTimeoutMs?: number;
-  /** Longest wait for a process to end after SIGTERM, in milliseconds. @default 20000 */
+  /** Time limit for a process to exit after SIGTERM, in milliseconds. @default 20000 */
   stopTimeoutMs?: number;
 }
--- a/packages/lab/src/types/load.ts
+++ b/packages/lab/src/types/load.ts
@@ -1,9 +1,9 @@
-/** What the load generator is told to do and what it found. */
+/** Options and results of the load generator. */
 
 import type { RunVerdict } from '@flamingocourse/core';
 import type { AnswerVerdict } from '../runtime/answerCheck.js';
 
-/** How a caller names its request, so that a retry is known as the same request. */
+/** How a caller identifies its request, so that routers recognise a retry of it. */
 export type Naming = 'none' | 'key' | 'ticket';
 
 /** Calls of a model service. */
@@ -13,19 +13,19 @@
   model: string;
   weight: number;
   naming: Naming;
-  /** Part of the calls that ask for a stream, from 0 to 1. */
+  /** Fraction of the calls that request a stream, from 0 to 1. */
   streamShare: number;
   maxTokens: number;
-  /** Words that all prompts of one account and class begin with. */
+  /** Number of words in the prefix that all prompts of one account and class share. */
   sharedPrefixWords: number;
 }
 
-/** Calls of a plain service: reads, or entries that may not run twice. */
+/** Calls of a plain service: reads, or entries, which must not run twice. */
 export interface ServiceMix {
   type: 'read' | 'entry';
   workClass: string;
   service: string;
-  /** Path behind the service's name, with a leading slash. */
+  /** Path after the name of the service, with a leading slash. */
   path: string;
   weight: number;
   naming: Naming;
@@ -33,20 +33,20 @@
 
 export type MixItem = ChatMix | ServiceMix;
 
-/** A client account that calls. */
+/** A client account that sends requests. */
 export interface LoadAccount {
   name: string;
   apiKey: string;
   weight: number;
 }
 
-/** A router's entry. */
+/** The entry URL of a router. */
 export interface LoadTarget {
   url: string;
   weight: number;
 }
 
-/** How a caller behaves once an answer begins. */
+/** Behaviour of a caller after the answer has begun. */
 export type CallerBehaviour = 'ordinary' | 'slow-reader' | 'hang-up';
 
 /** Options of {@link runLoad}. */
@@ -54,33 +54,33 @@
   targets: LoadTarget[];
   accounts: LoadAccount[];
   mix: MixItem[];
-  /** Mean of the arrivals, which do not wait for answers. */
+  /** Mean arrival rate; arrivals do not wait for earlier answers (open loop). */
   ratePerSecond: number;
-  /** Time over which requests arrive. */
+  /** Seconds during which requests arrive. */
   seconds: number;
   /** @default 1 */
   seed?: number;
-  /** Requests in progress at once; an arrival beyond is counted as not started. @default 500 */
+  /** Limit of concurrent requests; arrivals above it are counted as not started. @default 500 */
   maxInFlight?: number;
-  /** Attempts of one caller, the first included. @default 4 */
+  /** Attempts per request, including the first. @default 4 */
   maxAttempts?: number;
-  /** Longest wait for one attempt, in milliseconds. @default 30000 */
+  /** Timeout of one attempt, in milliseconds. @default 30000 */
   timeoutMs?: number;
-  /** Longest wait that a caller grants a Retry-After, in milliseconds. @default 3000 */
+  /** Longest Retry-After that a caller waits for, in milliseconds. @default 3000 */
   maxRetryAfterMs?: number;
-  /** Part of the streaming callers that read slowly. @default 0.02 */
+  /** Fraction of the streaming callers that read slowly. @default 0.02 */
   slowReaderShare?: number;
-  /** Part of the streaming callers that hang up in the middle. @default 0.02 */
+  /** Fraction of the streaming callers that disconnect during the answer. @default 0.02 */
   hangUpShare?: number;
-  /** Told the figures so far about once a second. */
+  /** Called about once a second with the current figures. */
   onProgress?: (progress: LoadProgress) => void;
-  /** Told how each attempt ended. */
+  /** Called with the outcome of each attempt. */
   onAttempt?: (request: PlannedRequest, end: CallEnd) => void;
-  /** Ends the arrivals early. */
+  /** Stops the arrivals early. */
   signal?: AbortSignal;
 }
 
-/** Figures while a run is under way. */
+/** Figures during a run. */
 export interface LoadProgress {
   elapsedMs: number;
   requests: number;
@@ -89,7 +89,7 @@
   inFlight: number;
 }
 
-/** One request, drawn before the run from the seed. */
+/** One request, generated from the seed before the run. */
 export interface PlannedRequest {
   number: number;
   atMs: number;
@@ -101,18 +101,18 @@
   key: string;
   stream: boolean;
   behaviour: CallerBehaviour;
-  /** Tokens after which a caller hangs up. */
+  /** Number of tokens after which a `hang-up` caller disconnects. */
   hangUpAfter: number;
   prompt: string;
 }
 
-/** Tokens of an answer as the router reported them. */
+/** Token usage that the router reported for an answer. */
 export interface ReportedUsage {
   promptTokens: number;
   completionTokens: number;
 }
 
-/** How one attempt of a caller ended. */
+/** Outcome of one attempt of a caller. */
 export type CallEnd =
   | {
       type: 'answer';
@@ -135,7 +135,7 @@
   p99: number;
 }
 
-/** Figures of one class of work. */
+/** Figures of one work class. */
 export interface ClassFigures {
   requests: number;
   whole: number;
@@ -153,10 +153,10 @@
   tokens: number;
 }
 
-/** What the caller of a non-idempotent request knows in the end. */
+/** What the caller of a non-idempotent request knows after its last attempt. */
 export type EntryOutcome = 'entered' | 'not-run' | 'unknown';
 
-/** Something that a caller must never see. */
+/** A cut or mixed answer that a caller received. */
 export interface AnswerFault {
   key: string;
   account: string;
@@ -169,28 +169,28 @@
   seed: number;
   seconds: number;
   requests: number;
-  /** Requests whose final answer is whole and the caller's own. */
+  /** Requests whose final answer is complete and belongs to the caller. */
   whole: number;
-  /** Answers given as complete with a cut, a gap, a repeat or a wrong order. */
+  /** Answers that were marked complete but have missing, repeated or reordered words. */
   cut: number;
-  /** Answers, complete or not, with words that are not the caller's own. */
+  /** Answers, complete or not, that contain words of another answer. */
   mixed: number;
   /** Attempts that ended without a final event and without a refusal. */
   broken: number;
   /** Requests without an answer or a refusal after the last attempt. */
   unanswered: number;
-  /** Callers that hung up on purpose. */
+  /** Callers that disconnected deliberately. */
   hungUp: number;
-  /** Arrivals that the generator could not start; the load was lower than asked for. */
+  /** Arrivals that were not started; if above 0, the load was lower than requested. */
   notStarted: number;
-  /** Attempts beyond the first. */
+  /** Attempts after the first. */
   retries: number;
-  /** Requests whose last word was a refusal, by reason. */
+  /** Requests whose last attempt was refused, by reason. */
   refusals: Record<string, number>;
   classes: Record<string, ClassFigures>;
   accounts: Record<string, AccountFigures>;
   /** Outcome of each non-idempotent request, by its key. */
   entries: Record<string, EntryOutcome>;
-  /** The first faults found. */
+  /** The first faults that were found. */
   faults: AnswerFault[];
 }
--- a/packages/lab/src/types/plainServiceStandIn.ts
+++ b/packages/lab/src/types/plainServiceStandIn.ts
@@ -1,21 +1,21 @@
-/** Options, switches and records of the plain service stand-in. */
+/** Options, fault switches and records of the plain service stand-in. */
 
 import type { HttpStandInOptions } from './httpStandIn.js';
 
-/** Where a connection breaks: before the call ran, or after it ran and before its reply. */
+/** When a connection breaks: before the call runs, or after it ran but before the reply. */
 export type BreakPoint = 'before-run' | 'after-run';
 
-/** Faults that can be switched while the service runs. */
+/** Faults that can be switched on and off while the service runs. */
 export interface PlainServiceFaults {
   /** Breaks the connections of the next calls with a body. @default null */
   breakAt: BreakPoint | null;
-  /** Number of calls that break; each break counts it down. @default 0 */
+  /** Number of calls whose connection will break; each break decrements it. @default 0 */
   breaks: number;
-  /** Added to the time of each call, in milliseconds. @default 0 */
+  /** Additional time of each call, in milliseconds. @default 0 */
   slowMs: number;
-  /** Part of the calls answered with status 500 before they run. @default 0 */
+  /** Fraction of the calls that are answered with status 500 before they run. @default 0 */
   errorRate: number;
-  /** Refuses new calls and says so in `/health`. @default false */
+  /** Refuses new calls and reports `leaving` in `/health`. @default false */
   leaving: boolean;
 }
 
@@ -23,16 +23,16 @@
 export interface PlainServiceStandInOptions extends HttpStandInOptions {
   /** Milliseconds that each call takes. @default 5 */
   serviceMs?: number;
-  /** Age of what `/load` reports, in milliseconds. @default 1000 */
+  /** Age of the load that `/load` reports, in milliseconds. @default 1000 */
   loadLagMs?: number;
   /** @default 1 */
   seed?: number;
   faults?: Partial<PlainServiceFaults>;
-  /** Records shared by several servers of one service. @default records of its own */
+  /** Records that several servers of one service share. @default new, unshared records */
   records?: ServiceRecords;
 }
 
-/** Faults of a service that has none. */
+/** All faults switched off. */
 export const NO_SERVICE_FAULTS: PlainServiceFaults = {
   breakAt: null,
   breaks: 0,
@@ -41,17 +41,17 @@
   leaving: false,
 };
 
-/** One call that changed something. */
+/** One execution of a call that creates an entry. */
 export interface ServiceRun {
-  /** Nonce of the attempt, from `x-request-id`. */
+  /** Nonce of the attempt, from the header `x-request-id`. */
   requestId: string;
-  /** The caller's own name for its request, from the member `key` of the body. */
+  /** The caller's key of the request, from the field `key` of the body. */
   callerKey: string;
   path: string;
   at: number;
 }
 
-/** What the servers of one service keep: entries made, and the runs that made them. */
+/** Entries of one service, and the runs that created them. */
 export interface ServiceRecords {
   entries: Map<string, unknown>;
   runs: ServiceRun[];
--- a/packages/lab/src/types/prove.ts
+++ b/packages/lab/src/types/prove.ts
@@ -1,6 +1,6 @@
-/** What `prove` finds out about the promises. */
+/** Promises of the system, and the report of `prove` on them. */
 
-/** Promises in the order of the brief. */
+/** Promises of the system; a promise is identified by its position, from 1. */
 export const PROMISES = [
   'spend never exceeds the prepaid budget',
   'each request is billed exactly once',
@@ -17,24 +17,24 @@
 
 export type PromiseVerdict = 'held' | 'broken' | 'unproved';
 
-/** What the phases found about one promise. */
+/** Findings of all phases about one promise. */
 export interface PromiseReport {
   promise: PromiseNumber;
   verdict: PromiseVerdict;
-  /** Faults under which it was checked. */
+  /** Injected faults under which the promise was checked. */
   faults: string[];
-  /** Checks made: answers compared, samples taken, requests counted. */
+  /** Number of checks: compared answers, samples, or counted requests. */
   checks: number;
-  /** What was seen that must not be; the first few in words. */
+  /** Descriptions of the first violations. */
   violations: string[];
 }
 
-/** Outcome of a whole run. */
+/** Result of a whole run. */
 export interface ProveResult {
   seed: number;
-  /** Wall-clock seconds of the run. */
+  /** Duration of the run in wall-clock seconds. */
   seconds: number;
   promises: PromiseReport[];
-  /** How the load of each phase ended, for readers of the run. */
+  /** Figures of the load of each phase, for information only. */
   phases: Record<string, unknown>[];
 }
--- a/packages/lab/src/types/report.ts
+++ b/packages/lab/src/types/report.ts
@@ -1,4 +1,4 @@
-/** Documents that measurements and the demo leave behind, and the report shows. */
+/** Schema of the documents that measurements and the demo write and the report command renders. */
 
 import { z } from 'zod';
 
@@ -11,7 +11,7 @@
   rows: z.array(z.array(cellSchema)),
 });
 
-/** A bar or line chart; every series has one value for each category. */
+/** A bar or line chart; each series has one value per category. */
 export const reportChartSchema = z.object({
   title: z.string(),
   type: z.enum(['bar', 'line']).default('bar'),
@@ -20,10 +20,10 @@
   series: z.array(z.object({ name: z.string(), values: z.array(z.number()) })),
 });
 
-/** What one run shows. Files carry it in the member `report`, beside their raw figures. */
+/** Report of one run. Result files contain it in the field `report`, next to the raw figures. */
 export const reportDocumentSchema = z.object({
   title: z.string(),
-  /** How the run was made, such as its seed and length. */
+  /** Conditions of the run, such as its seed and duration. */
   facts: z.array(z.string()).default([]),
   tables: z.array(reportTableSchema).default([]),
   charts: z.array(reportChartSchema).default([]),
