--- a/packages/lab/src/node/mutants/runMutants.ts
+++ b/packages/lab/src/node/mutants/runMutants.ts
@@ -1,32 +1,32 @@
-/** Walks every mutant until it is caught, and the unbroken protocol to the end. */
+/** Model-checks each mutant until a violation is found, and the correct protocol up to a limit of states. */
 
 import type { Mutant, WalkResult } from '../../runtime/walk/index.js';
 import Table from 'cli-table3';
 import { coreRules, mutantList, scopes, walk } from '../../runtime/walk/index.js';
 
-/** What became of one mutant. */
+/** Result for one mutant. */
 export interface MutantResult {
   readonly name: string;
-  /** The walk that caught it; none if it survived. */
+  /** The walk that found a violation; absent if the mutant survived. */
   readonly caught?: WalkResult;
-  /** States seen until then, in all scopes. */
+  /** States explored until then, in all scopes. */
   readonly states: number;
 }
 
-/** What all walks found. */
+/** Results of all walks. */
 export interface MutantReport {
   readonly unbroken: readonly WalkResult[];
   readonly mutants: readonly MutantResult[];
 }
 
-/** States per scope, for a mutant. */
+/** Limit of states per scope for a mutant. */
 const MUTANT_STATES = 60_000;
 
-/** States per scope, for the unbroken protocol. */
+/** Limit of states per scope for the correct protocol. */
 const UNBROKEN_STATES = 150_000;
 
 /**
- * Runs everything; `fail` in the report is for the caller to judge.
+ * Walks the correct protocol and all mutants; pass the report to {@link hasFailed}.
  *
  * @example
  * const report = runMutants();
@@ -39,7 +39,7 @@
   return { unbroken, mutants: list.map(catchMutant) };
 }
 
-/** Walks the scopes, its own first, until one catches the mutant. */
+/** Walks the scopes, beginning with the mutant's own, until one finds a violation. */
 export function catchMutant({ name, scope: first, rules }: Mutant): MutantResult {
   const others = scopes.filter((scope) => scope.name !== first);
   let states = 0;
@@ -51,12 +51,12 @@
   return { name, states };
 }
 
-/** Whether a mutant survived or the unbroken protocol is wrong. */
+/** Returns whether a mutant survived or the correct protocol has a violation. */
 export function hasFailed({ unbroken, mutants }: MutantReport): boolean {
   return unbroken.some((one) => one.violation) || mutants.some((one) => !one.caught);
 }
 
-/** Prints both tables. */
+/** Renders both results as text tables. */
 export function renderMutants({ unbroken, mutants }: MutantReport): string {
   const walks = new Table({ head: ['scope', 'states', 'depth', 'end', 'violation'] });
   for (const one of unbroken) {
--- a/packages/lab/src/node/prove/callerLog.ts
+++ b/packages/lab/src/node/prove/callerLog.ts
@@ -1,4 +1,4 @@
-/** Keeps what callers saw, for comparison with bills and runs. */
+/** Records the outcomes that callers observed, for comparison with bills and runs. */
 
 import type { Bill } from '@flamingocourse/core';
 import type { SeenAnswer, SeenNotRun } from '../../runtime/prove/billAudit.js';
@@ -7,12 +7,12 @@
 import { auditBills } from '../../runtime/prove/billAudit.js';
 import { TOKENS_PER_CALL } from './proveDeclarations.js';
 
-/** Attempts of all callers of a run. */
+/** Outcomes of the attempts of all callers of a run. */
 export class CallerLog {
   readonly answers: SeenAnswer[] = [];
-  /** Last word on each non-idempotent request; an answer stands over what came later. */
+  /** Last outcome of each non-idempotent request; an answer overrides all later outcomes. */
   readonly entries: Record<string, EntryOutcome> = {};
-  /** Answers, complete or not, that are not the caller's own whole answer. */
+  /** Descriptions of answers, complete or not, that are cut or belong to another caller. */
   readonly badAnswers: string[] = [];
   attempts = 0;
   readonly #tickets: HmacTicketCodec;
@@ -23,7 +23,7 @@
     this.#tickets = new HmacTicketCodec(fleetSecret);
   }
 
-  /** Records how an attempt ended. */
+  /** Records the outcome of an attempt. */
   add(request: PlannedRequest, end: CallEnd): void {
     this.attempts += 1;
     if ('verdict' in end && end.verdict !== 'whole') {
@@ -34,7 +34,7 @@
     this.#addNotRun(request, end);
   }
 
-  /** Compares with the bills. */
+  /** Compares the outcomes with the bills; returns descriptions of the differences. */
   auditBills(bills: readonly Bill[]): string[] {
     const notRun: SeenNotRun[] = [...this.#notRun].map(([key, keyDigest]) => ({ key, keyDigest }));
     return auditBills({ answers: this.answers, notRun, bills });
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Only the last word counts: a caller may be refused at first and served at another router. */
+  /** Only the last outcome counts: one router may refuse a request that another then answers. */
   #addNotRun({ item, account, key }: PlannedRequest, end: CallEnd): void {
     const refused = end.type === 'refused' && end.run === 'not-run';
     if (refused && item.naming === 'key' && !this.#answered.has(key)) {
--- a/packages/lab/src/node/prove/configurationPhase.ts
+++ b/packages/lab/src/node/prove/configurationPhase.ts
@@ -1,7 +1,7 @@
-/** Promise 8: accepted changes reach every router that can be reached, and stay. */
+/** Promise 8: accepted changes come into force at every reachable router and never revert. */
 
 import type { ServiceDeclaration } from '@flamingocourse/core';
-import type { PhaseSite } from './loadPhase.js';
+import type { PhaseContext } from './loadPhase.js';
 import type { ProveStage } from './proveStage.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { z } from 'zod';
@@ -14,42 +14,47 @@
 import { readAll } from './proveStage.js';
 import { watchRevisions } from './watchers.js';
 
-/** Time after which an accepted change must be in force. */
+/** Time limit for an accepted change to be in force. */
 const IN_FORCE_MS = 3_000;
-/** A change that is late is still awaited, to know how late it is. */
-const GIVE_UP_MS = 20_000;
-const MOST_TRIES = 12;
+/** Wait for a change that missed the time limit, to measure its delay. */
+const WAIT_LIMIT_MS = 20_000;
+const MAX_ATTEMPTS = 12;
 const POLL_MS = 100;
 const CALL_TIMEOUT_MS = 1_000;
 
-/** Each change takes the model of the change before away, which must be said to be meant. */
-const MEANT = ['--acknowledge', 'refuses-whole-class', '--acknowledge', 'allows-repeats'];
+/** Each change removes the model of the previous change, which requires an acknowledgement. */
+const ACKNOWLEDGEMENTS = [
+  '--acknowledge',
+  'refuses-whole-class',
+  '--acknowledge',
+  'allows-repeats',
+];
 
 const modelsSchema = z.object({ data: z.array(z.object({ id: z.string() })) });
 
-/** Time that each accepted change took to reach all routers. */
+/** Time in which each accepted change reached all routers. */
 export interface ConfigurationFigures {
   phase: 'configuration';
   inForceAfterMs: Record<string, number>;
   revisionSamples: number;
 }
 
-/** Runs the changes one after the other. */
-export async function runConfigurationPhase(site: PhaseSite): Promise<ConfigurationFigures> {
-  const { stage, findings } = site;
-  site.onProgress('phase configuration: changes under faults');
+/** Runs the changes one after another. */
+export async function runConfigurationPhase(context: PhaseContext): Promise<ConfigurationFigures> {
+  const { stage, findings } = context;
+  context.onProgress('phase configuration: changes under faults');
   const watch = watchRevisions(stage.fleet);
   const inForceAfterMs: ConfigurationFigures['inForceAfterMs'] = {};
   for (const [index, change] of changes.entries()) {
     const problems = await change.make(stage, `${PROVE_MODEL}-${index}`);
-    const { afterMs, late } = await waitInForce(stage);
+    const { afterMs, late } = await waitUntilInForce(stage);
     inForceAfterMs[change.name] = afterMs;
     const violations = [...problems, ...late].map((text) => `${change.name}: ${text}`);
     findings.add(8, { faults: [change.name], checks: 1, violations });
     await change.undo?.(stage);
   }
   await delay(IN_FORCE_MS);
-  const { late } = await waitInForce(stage);
+  const { late } = await waitUntilInForce(stage);
   findings.add(8, { checks: 1, violations: late.map((text) => `at the end: ${text}`) });
   watch.stop();
   findings.add(8, { checks: watch.samples, violations: watch.violations });
@@ -58,7 +63,7 @@
 
 interface Change {
   name: string;
-  /** Makes the change; returns what went wrong. */
+  /** Makes the change; returns descriptions of problems. */
   make: (stage: ProveStage, model: string) => Promise<string[]>;
   undo?: (stage: ProveStage) => Promise<unknown> | undefined;
 }
@@ -92,7 +97,7 @@
       stage.platform.setFaults('all', { freezeWatch: false });
     },
   },
-  { name: 'two operators at once', make: race },
+  { name: 'two operators at once', make: applyConcurrently },
   {
     name: 'router killed and restarted',
     make: async (stage, model) => {
@@ -106,19 +111,20 @@
 
 async function apply(stage: ProveStage, model: string): Promise<string[]> {
   const file = await writeDeclarations(stage.directory, model, [PROVE_MODEL, model]);
-  const end = await stage.operate('apply', file, ...MEANT);
+  const end = await stage.operate('apply', file, ...ACKNOWLEDGEMENTS);
   const accepted = storedModels(stage).includes(model);
-  if (end.code === 0) return accepted ? [] : ['apply ended with 0 and the change is not stored'];
-  return [`apply ended with ${end.code}: ${end.output}`];
+  if (end.code === 0) return accepted ? [] : ['apply exited with 0 but the change is not stored'];
+  return [`apply exited with ${end.code}: ${end.output}`];
 }
 
-/** Half of the replies get lost; an operator repeats the command until it says that all is well. */
+/** Half of the replies are lost; the operator repeats the command until it succeeds. */
 async function applyWithLostReplies(stage: ProveStage, model: string): Promise<string[]> {
   stage.platform.setFaults('operators', { lostReplies: 0.5 });
   let problems: string[] = [];
-  for (let tries = 0; tries < MOST_TRIES; tries += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     problems = await apply(stage, model);
-    // refused and not stored is honest, and so the operator tries again; refused and stored is not.
+    // an error without a stored change is correct, and the operator retries; an error although the
+    // change was stored is a violation.
     const stored = storedModels(stage).includes(model);
     if (problems.length === 0) return [];
     if (stored) return problems;
@@ -126,40 +132,45 @@
   return problems;
 }
 
-/** Both may be accepted, one after the other; who is told 0 must have been in force. */
-async function race(stage: ProveStage, model: string): Promise<string[]> {
+/**
+ * Two operators apply at the same time. Both may be accepted, one after the other; the stored change
+ * must be one of those that exited with 0.
+ */
+async function applyConcurrently(stage: ProveStage, model: string): Promise<string[]> {
   const names = [`${model}-one`, `${model}-two`];
   const files = await Promise.all(
     names.map((name) => writeDeclarations(stage.directory, name, [PROVE_MODEL, name])),
   );
-  const ends = await Promise.all(files.map((file) => stage.operate('apply', file, ...MEANT)));
-  const winners = names.filter((_, index) => ends[index]?.code === 0);
+  const ends = await Promise.all(
+    files.map((file) => stage.operate('apply', file, ...ACKNOWLEDGEMENTS)),
+  );
+  const acceptedNames = names.filter((_, index) => ends[index]?.code === 0);
   const stored = storedModels(stage).find((name) => names.includes(name));
-  if (winners.length === 0) return ['neither of two operators was accepted'];
-  if (stored !== undefined && winners.includes(stored)) return [];
-  return [`${winners.join(' and ')} accepted, and ${stored ?? 'neither'} is stored`];
+  if (acceptedNames.length === 0) return ['neither of two operators was accepted'];
+  if (stored !== undefined && acceptedNames.includes(stored)) return [];
+  return [`${acceptedNames.join(' and ')} accepted, and ${stored ?? 'neither'} is stored`];
 }
 
-/** Waits until every running router shows the stored configuration. */
-async function waitInForce(stage: ProveStage): Promise<{ afterMs: number; late: string[] }> {
+/** Waits until every running router serves the models of the stored configuration. */
+async function waitUntilInForce(stage: ProveStage): Promise<{ afterMs: number; late: string[] }> {
   const startedAt = performance.now();
   for (;;) {
-    const late = await findLate(stage);
+    const late = await findOutdatedRouters(stage);
     const afterMs = Math.round(performance.now() - startedAt);
     if (late.length === 0 && afterMs <= IN_FORCE_MS) return { afterMs, late };
-    if (late.length === 0) return { afterMs, late: [`in force after ${afterMs} ms only`] };
-    if (afterMs > GIVE_UP_MS) return { afterMs, late };
+    if (late.length === 0) return { afterMs, late: [`in force only after ${afterMs} ms`] };
+    if (afterMs > WAIT_LIMIT_MS) return { afterMs, late };
     await delay(POLL_MS);
   }
 }
 
-async function findLate(stage: ProveStage): Promise<string[]> {
+async function findOutdatedRouters(stage: ProveStage): Promise<string[]> {
   const expected = storedModels(stage).sort().join(' ');
   const running = stage.fleet.routers.filter((router) => router.state === 'running');
-  const shown = await Promise.all(
+  const served = await Promise.all(
     running.map(async ({ slot, entryUrl }) => ({ slot, models: await readModels(entryUrl) })),
   );
-  return shown
+  return served
     .filter(({ models }) => models !== expected)
     .map(
       ({ slot, models }) => `${slot.dataCentre}/${slot.instance} has ${models}, not ${expected}`,
--- a/packages/lab/src/node/prove/leavingPhase.ts
+++ b/packages/lab/src/node/prove/leavingPhase.ts
@@ -1,21 +1,21 @@
-/** Promise 6: servers that leave by the list, by their own word and by an operator's order. */
+/** Promise 6: servers leave by the instance list, by their own health check, and by a drain command. */
 
 import type { EngineStandIn } from '../engineStandIn/index.js';
-import type { PhaseFigures, PhaseSite } from './loadPhase.js';
+import type { PhaseFigures, PhaseContext } from './loadPhase.js';
 import type { ProveStage } from './proveStage.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { runLoad } from '../loadGenerator/index.js';
 import { MODEL_SERVICE, proveAccounts, proveMix } from './proveDeclarations.js';
 
-/** Time after which a leaving server may get no new work. */
+/** Time after which a leaving server must not get new work. */
 const GRACE_MS = 3_000;
-/** Time over which it is then watched. */
+/** Time during which its requests are then counted. */
 const WATCH_MS = 3_000;
 const LOAD_SECONDS = 8;
 const RATE_PER_SECOND = 40;
 
-/** How a server leaves, and how many requests have reached it. */
-interface Leaving {
+/** One way in which a server leaves, and the counter of requests that reach it. */
+interface LeavingCase {
   name: string;
   engine: number;
   leave: (stage: ProveStage) => Promise<unknown> | undefined;
@@ -23,15 +23,15 @@
   count: (engine: EngineStandIn) => number;
 }
 
-const leavings: Leaving[] = [
+const leavingCases: LeavingCase[] = [
   {
     name: 'instance list says leaving, 1 s late',
     engine: 0,
     leave: (stage) => {
-      listAs(stage, 0, 'leaving');
+      setListedState(stage, 0, 'leaving');
     },
     undo: (stage) => {
-      listAs(stage, 0, 'live');
+      setListedState(stage, 0, 'live');
     },
     count: (engine) => engine.counters.requests,
   },
@@ -55,11 +55,13 @@
   },
 ];
 
-/** Lets three servers leave at once under load. */
-export async function runLeavingPhase(site: PhaseSite): Promise<Partial<PhaseFigures>> {
-  const { stage, findings, seed } = site;
-  site.onProgress('phase leaving: three servers leave in three ways');
-  const before = leavings.map(({ engine }) => stage.backends.engines[engine]?.counters.requests);
+/** Makes three servers leave at the same time under load. */
+export async function runLeavingPhase(context: PhaseContext): Promise<Partial<PhaseFigures>> {
+  const { stage, findings, seed } = context;
+  context.onProgress('phase leaving: three servers leave in three ways');
+  const before = leavingCases.map(
+    ({ engine }) => stage.backends.engines[engine]?.counters.requests,
+  );
   const load = runLoad({
     targets: stage.fleet.entryUrls.map((url) => ({ url, weight: 1 })),
     accounts: proveAccounts.filter((account) => account.name === 'wide'),
@@ -69,23 +71,23 @@
     seed,
   });
   await delay(1_000);
-  for (const [index, { engine }] of leavings.entries()) {
+  for (const [index, { engine }] of leavingCases.entries()) {
     const now = stage.backends.engines[engine]?.counters.requests;
     const checks = (now ?? 0) > (before[index] ?? 0) ? 1 : 0;
-    // a server that got no work before it left would prove nothing.
+    // the check proves nothing for a server that got no work before it left.
     findings.add(6, { checks });
   }
-  await Promise.all(leavings.map(async ({ leave }) => leave(stage)));
+  await Promise.all(leavingCases.map(async ({ leave }) => leave(stage)));
   await delay(GRACE_MS);
-  const atGrace = leavings.map((leaving) => countAt(stage, leaving));
+  const countsAfterGrace = leavingCases.map((leaving) => countRequests(stage, leaving));
   await delay(WATCH_MS);
-  for (const [index, leaving] of leavings.entries()) {
-    const late = countAt(stage, leaving) - (atGrace[index] ?? 0);
+  for (const [index, leaving] of leavingCases.entries()) {
+    const late = countRequests(stage, leaving) - (countsAfterGrace[index] ?? 0);
     const text = `${leaving.name}: ${late} requests came later than ${GRACE_MS} ms`;
     const violations = late > 0 ? [text] : [];
     findings.add(6, { faults: [leaving.name], checks: 1, violations });
   }
-  await Promise.all(leavings.map(async ({ undo }) => undo(stage)));
+  await Promise.all(leavingCases.map(async ({ undo }) => undo(stage)));
   const { requests, whole, broken, unanswered, retries, refusals } = await load;
   return {
     phase: 'leaving',
@@ -93,12 +95,12 @@
   };
 }
 
-function countAt(stage: ProveStage, { engine, count }: Leaving): number {
+function countRequests(stage: ProveStage, { engine, count }: LeavingCase): number {
   const standIn = stage.backends.engines[engine];
   return standIn ? count(standIn) : 0;
 }
 
-function listAs(stage: ProveStage, index: number, state: 'live' | 'leaving'): undefined {
+function setListedState(stage: ProveStage, index: number, state: 'live' | 'leaving'): undefined {
   const items = stage.backends.instances.get(MODEL_SERVICE) ?? [];
   const changed = items.map((item, place) => (place === index ? { ...item, state } : item));
   stage.platform.setInstances(MODEL_SERVICE, changed);
--- a/packages/lab/src/node/prove/loadPhase.ts
+++ b/packages/lab/src/node/prove/loadPhase.ts
@@ -1,4 +1,4 @@
-/** A phase of the proof: load, faults at fixed times, then all audits once it is quiet. */
+/** A phase of the proof: load with faults at fixed times, then all audits when the system is quiet. */
 
 import type { LoadResult } from '../../types/load.js';
 import type { Findings } from '../../runtime/prove/findings.js';
@@ -12,10 +12,10 @@
 import { CallerLog } from './callerLog.js';
 import { proveAccounts, proveMix, TIGHT_ACCOUNTS, TIGHT_TOKENS } from './proveDeclarations.js';
 import { readBills, readMoney } from './proveStage.js';
-import { runTwins } from './twins.js';
+import { runDuplicateRequests } from './duplicateRequests.js';
 import { watchMoney } from './watchers.js';
 
-/** A fault, or the end of one, at a time of its phase. */
+/** Start or end of a fault at a fixed time of the phase. */
 export interface FaultStep {
   atSeconds: number;
   run: (stage: ProveStage) => Promise<unknown> | undefined;
@@ -24,24 +24,24 @@
 /** A phase with load. */
 export interface LoadPhase {
   name: string;
-  /** Faults in words, for the reports of the promises. */
+  /** Descriptions of the faults, for the reports of the promises. */
   faults: string[];
-  /** Time over which requests arrive. */
+  /** Seconds during which requests arrive. */
   seconds: number;
   steps: FaultStep[];
-  /** Whether callers may see streams that break off. */
+  /** Whether streams may break before their end. */
   mayBreak: boolean;
 }
 
-/** What every phase works with. */
-export interface PhaseSite {
+/** Arguments that all phases share. */
+export interface PhaseContext {
   stage: ProveStage;
   findings: Findings;
   seed: number;
   onProgress: (line: string) => void;
 }
 
-/** How a phase ended, for readers of the run. */
+/** Figures of a phase, for information only. */
 export interface PhaseFigures {
   phase: string;
   load: Pick<LoadResult, 'requests' | 'whole' | 'broken' | 'unanswered' | 'retries' | 'refusals'>;
@@ -49,22 +49,22 @@
   attempts: number;
   entries: number;
   moneySamples: number;
-  /** Milliseconds until ledger, journals and bills agreed to the token; absent if they never did. */
+  /** Milliseconds until ledger, journals and bills agreed exactly; absent if they never did. */
   quietAfterMs?: number;
 }
 
 const RATE_PER_SECOND = 24;
-const TWINS_PER_SECOND = 6;
+const DUPLICATES_PER_SECOND = 6;
 const TIMEOUT_MS = 12_000;
 const MAX_ATTEMPTS = 6;
 const QUIET_POLL_MS = 250;
 const QUIET_TIMEOUT_MS = 12_000;
 const MS_PER_SECOND = 1_000;
 
-/** Runs a phase and adds what it found. */
-export async function runLoadPhase(site: PhaseSite, phase: LoadPhase): Promise<PhaseFigures> {
-  const { stage, findings, seed } = site;
-  site.onProgress(`phase ${phase.name}: ${phase.faults.join(', ')}`);
+/** Runs a phase and adds its findings. */
+export async function runLoadPhase(context: PhaseContext, phase: LoadPhase): Promise<PhaseFigures> {
+  const { stage, findings, seed } = context;
+  context.onProgress(`phase ${phase.name}: ${phase.faults.join(', ')}`);
   await topUp(stage, `${phase.name}-start`);
   const money = watchMoney(stage);
   const log = new CallerLog(stage.fleet.fleetSecret);
@@ -83,12 +83,12 @@
         log.add(request, end);
       },
     }),
-    runTwins({
+    runDuplicateRequests({
       entryUrls: stage.fleet.entryUrls,
       label: `${phase.name}-${seed}`,
       seed,
       seconds: phase.seconds,
-      perSecond: TWINS_PER_SECOND,
+      perSecond: DUPLICATES_PER_SECOND,
       log,
     }),
     runSteps(stage, phase.steps),
@@ -108,7 +108,7 @@
   };
 }
 
-/** Tops the tight accounts up, as an operator; the id makes a repetition harmless. */
+/** Tops up the tight accounts as an operator; the change id makes the command idempotent. */
 export async function topUp(stage: ProveStage, changeId: string): Promise<void> {
   for (const account of TIGHT_ACCOUNTS) {
     const tokens = String(TIGHT_TOKENS);
@@ -127,7 +127,7 @@
   );
 }
 
-/** Waits until everything adds up; returns what still does not when time runs out. */
+/** Waits until ledger, journals and bills agree; returns the differences left at the timeout. */
 async function waitForQuiet(stage: ProveStage): Promise<{ faults: string[]; afterMs: number }> {
   const startedAt = performance.now();
   for (;;) {
@@ -151,28 +151,30 @@
 function addFindings(outcome: PhaseOutcome): void {
   const { stage, findings, phase, log, money, load, quietFaults } = outcome;
   const { faults, name } = phase;
-  const named = (violations: readonly string[]): string[] =>
+  const withPhase = (violations: readonly string[]): string[] =>
     violations.map((violation) => `[${name}] ${violation}`);
   const entries = auditEntries(log.entries, stage.backends.records.runs);
   const entryCount = Object.keys(log.entries).length;
   findings.add(1, {
     faults,
     checks: money.samples,
-    violations: named([...money.violations, ...quietFaults]),
+    violations: withPhase([...money.violations, ...quietFaults]),
   });
   findings.add(2, {
     faults,
     checks: log.answers.length,
-    violations: named(log.auditBills(readBills(stage.platform))),
+    violations: withPhase(log.auditBills(readBills(stage.platform))),
   });
   const lost = entries.lost.map((key) => `${key}: answered and never ran`);
   const answers = log.answers.length;
-  findings.add(3, { faults, checks: answers, violations: named([...log.badAnswers, ...lost]) });
-  const falsely = entries.falselyNotRun.map((key) => `${key}: refused as not run, and it ran`);
-  findings.add(4, { faults, checks: entryCount, violations: named(falsely) });
+  findings.add(3, { faults, checks: answers, violations: withPhase([...log.badAnswers, ...lost]) });
+  const falselyNotRun = entries.falselyNotRun.map(
+    (key) => `${key}: refused as not run, and it ran`,
+  );
+  findings.add(4, { faults, checks: entryCount, violations: withPhase(falselyNotRun) });
   const doubled = entries.doubled.map((key) => `${key}: ran more than once`);
-  findings.add(5, { faults, checks: entryCount, violations: named(doubled) });
+  findings.add(5, { faults, checks: entryCount, violations: withPhase(doubled) });
   if (phase.mayBreak) return;
   const broken = load.broken > 0 ? [`${load.broken} requests in progress were cut off`] : [];
-  findings.add(7, { faults, checks: load.requests, violations: named(broken) });
+  findings.add(7, { faults, checks: load.requests, violations: withPhase(broken) });
 }
--- a/packages/lab/src/node/prove/operatorCommand.ts
+++ b/packages/lab/src/node/prove/operatorCommand.ts
@@ -1,9 +1,9 @@
-/** Runs the operators' command as an operator would. */
+/** Runs the operators' command in its own process. */
 
 import { execFile } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
-/** How the command ended. */
+/** Exit code and output of the command. */
 export interface OperatorEnd {
   code: number;
   output: string;
--- a/packages/lab/src/node/prove/phases.ts
+++ b/packages/lab/src/node/prove/phases.ts
@@ -1,4 +1,4 @@
-/** The phases with load, and the faults of each. */
+/** Phases with load, with the faults of each. */
 
 import type { FaultStep, LoadPhase } from './loadPhase.js';
 import type { ProveStage } from './proveStage.js';
@@ -6,7 +6,7 @@
 
 const CUT_DATA_CENTRE = 0;
 
-function at(atSeconds: number, run: FaultStep['run']): FaultStep {
+function stepAt(atSeconds: number, run: FaultStep['run']): FaultStep {
   return { atSeconds, run };
 }
 
@@ -16,16 +16,16 @@
   seconds: 10,
   mayBreak: true,
   steps: [
-    at(0, (stage) => {
+    stepAt(0, (stage) => {
       for (const engine of stage.backends.engines) {
         engine.setFaults({ duplicateChunks: 0.1, lateChunks: 0.1 });
       }
     }),
-    at(1.5, crashEngine),
-    at(2, (stage) => stage.fleet.kill(0)),
-    at(4, (stage) => stage.fleet.kill(5)),
-    at(7, (stage) => stage.fleet.restart(0)),
-    at(8, (stage) => stage.fleet.restart(5)),
+    stepAt(1.5, crashEngine),
+    stepAt(2, (stage) => stage.fleet.kill(0)),
+    stepAt(4, (stage) => stage.fleet.kill(5)),
+    stepAt(7, (stage) => stage.fleet.restart(0)),
+    stepAt(8, (stage) => stage.fleet.restart(5)),
   ],
 };
 
@@ -35,16 +35,16 @@
   seconds: 12,
   mayBreak: true,
   steps: [
-    at(1, (stage) => {
+    stepAt(1, (stage) => {
       stage.fleet.freeze(1);
     }),
-    at(3, (stage) => {
+    stepAt(3, (stage) => {
       stage.fleet.freeze(2);
     }),
-    at(5, (stage) => {
+    stepAt(5, (stage) => {
       stage.fleet.thaw(2);
     }),
-    at(9, (stage) => {
+    stepAt(9, (stage) => {
       stage.fleet.thaw(1);
     }),
   ],
@@ -56,12 +56,12 @@
   seconds: 14,
   mayBreak: true,
   steps: [
-    at(2, (stage) => {
-      stage.network.cut(cutName(stage));
+    stepAt(2, (stage) => {
+      stage.network.cut(cutDataCentre(stage));
     }),
-    at(5, (stage) => topUp(stage, 'cut-middle')),
-    at(11, (stage) => {
-      stage.network.heal(cutName(stage));
+    stepAt(5, (stage) => topUp(stage, 'cut-middle')),
+    stepAt(11, (stage) => {
+      stage.network.heal(cutDataCentre(stage));
     }),
   ],
 };
@@ -72,25 +72,25 @@
   seconds: 14,
   mayBreak: true,
   steps: [
-    at(0, (stage) => {
+    stepAt(0, (stage) => {
       stage.platform.setFaults('all', { lostReplies: 0.1 });
       for (const service of stage.backends.plainServices) {
         service.setFaults({ breakAt: 'after-run', breaks: 2 });
       }
     }),
-    at(2, (stage) => {
+    stepAt(2, (stage) => {
       setOutage(stage, 'silent');
     }),
-    at(6, (stage) => {
+    stepAt(6, (stage) => {
       setOutage(stage, 'none');
     }),
-    at(8, (stage) => {
+    stepAt(8, (stage) => {
       setOutage(stage, 'refuse');
     }),
-    at(11, (stage) => {
+    stepAt(11, (stage) => {
       setOutage(stage, 'none');
     }),
-    at(13, (stage) => {
+    stepAt(13, (stage) => {
       stage.platform.setFaults('all', { lostReplies: 0 });
     }),
   ],
@@ -102,9 +102,9 @@
   seconds: 10,
   mayBreak: false,
   steps: [
-    at(1, (stage) => stopAndRestart(stage, 0)),
-    at(3, (stage) => stopAndRestart(stage, 3)),
-    at(5, (stage) => stopAndRestart(stage, 6)),
+    stepAt(1, (stage) => stopAndRestart(stage, 0)),
+    stepAt(3, (stage) => stopAndRestart(stage, 3)),
+    stepAt(5, (stage) => stopAndRestart(stage, 6)),
   ],
 };
 
@@ -114,17 +114,17 @@
   seconds: 14,
   mayBreak: true,
   steps: [
-    at(1, (stage) => {
-      stage.network.cut(cutName(stage));
+    stepAt(1, (stage) => {
+      stage.network.cut(cutDataCentre(stage));
     }),
-    // the first router of the data centre that is cut off: its witnesses are there too.
-    at(3, (stage) => stage.fleet.kill(0)),
-    at(5, (stage) => stage.fleet.kill(1)),
-    at(9, (stage) => {
-      stage.network.heal(cutName(stage));
+    // the first router of the partitioned data centre, which also contains its witnesses.
+    stepAt(3, (stage) => stage.fleet.kill(0)),
+    stepAt(5, (stage) => stage.fleet.kill(1)),
+    stepAt(9, (stage) => {
+      stage.network.heal(cutDataCentre(stage));
     }),
-    at(10, (stage) => stage.fleet.restart(0)),
-    at(11, (stage) => stage.fleet.restart(1)),
+    stepAt(10, (stage) => stage.fleet.restart(0)),
+    stepAt(11, (stage) => stage.fleet.restart(1)),
   ],
 };
 
@@ -138,7 +138,7 @@
   stopPhase,
 ];
 
-function cutName(stage: ProveStage): string {
+function cutDataCentre(stage: ProveStage): string {
   return stage.plan.dataCentres[CUT_DATA_CENTRE] ?? '';
 }
 
@@ -152,9 +152,9 @@
   await engine?.start();
 }
 
-/** A router's planned stop must end with code 0; a failed one ends the whole proof. */
+/** Stops a router as planned and restarts it; an exit code other than 0 is a violation. */
 async function stopAndRestart(stage: ProveStage, index: number): Promise<void> {
   const end = await stage.fleet.terminate(index);
-  if (end.code !== 0) stage.stopFaults.push(`router ${index} ended with ${JSON.stringify(end)}`);
+  if (end.code !== 0) stage.stopFaults.push(`router ${index} exited with ${JSON.stringify(end)}`);
   await stage.fleet.restart(index);
 }
--- a/packages/lab/src/node/prove/proveDeclarations.ts
+++ b/packages/lab/src/node/prove/proveDeclarations.ts
@@ -1,4 +1,4 @@
-/** Declarations of the proof: small budgets that run out, and one large one. */
+/** Declarations of the proof: accounts with small budgets that run out, and one with a large one. */
 
 import type { LoadAccount, MixItem } from '../../types/load.js';
 import { writeFile } from 'node:fs/promises';
@@ -10,7 +10,7 @@
 export const PLAIN_SERVICE = 'shop-ledger';
 export const TOKENS_PER_CALL = 10;
 
-/** Accounts whose budget lasts for a part of one phase; each phase tops them up. */
+/** Accounts whose budget runs out during a phase; each phase tops them up. */
 export const TIGHT_ACCOUNTS = ['tight-east', 'tight-west'] as const;
 export const TIGHT_TOKENS = 5_000;
 
@@ -18,7 +18,7 @@
 const MAX_TOKENS = 64;
 const PREFIX_WORDS = 16;
 
-/** Accounts of the load; the tight ones call most. */
+/** Accounts of the load; the tight accounts together send most requests. */
 export const proveAccounts: LoadAccount[] = [
   { name: 'wide', apiKey: 'prove-wide', weight: 4 },
   { name: 'tight-east', apiKey: 'prove-tight-east', weight: 3 },
@@ -41,7 +41,7 @@
   path: '/reservations',
 } as const;
 
-/** What the callers do. */
+/** Mix of calls of the load. */
 export const proveMix: MixItem[] = [
   { ...chat, naming: 'key', weight: 3 },
   { ...chat, naming: 'ticket', weight: 1 },
@@ -57,7 +57,7 @@
   budgetShare: 1,
 };
 
-/** Writes the declarations as files and returns their paths; `models` are those of the service. */
+/** Writes the declarations to a file and returns its path; `models` are those of the service. */
 export async function writeDeclarations(
   directory: string,
   name: string,
--- a/packages/lab/src/node/prove/proveStage.ts
+++ b/packages/lab/src/node/prove/proveStage.ts
@@ -1,4 +1,4 @@
-/** The fleet of the proof: real router processes, stand-ins in this process, relays between. */
+/** Router processes of the proof, with stand-ins in this process and network relays between them. */
 
 import type { Bill, BillSegment, JournalState, LedgerPage } from '@flamingocourse/core';
 import type { DeploymentPlan } from '../../runtime/deployments.js';
@@ -18,7 +18,7 @@
 const ROUTER_SERVICE = 'flamingocourse-router';
 const INSTANCE_LAG_MS = 1_000;
 
-/** Everything that a phase can disturb and look at. */
+/** Components into which a phase injects faults and whose state it reads. */
 export interface ProveStage {
   plan: DeploymentPlan;
   platform: PlatformStandIn;
@@ -26,7 +26,7 @@
   network: Network;
   fleet: FleetRunner;
   directory: string;
-  /** Planned stops that did not end as they should. */
+  /** Descriptions of planned stops that failed. */
   stopFaults: string[];
   /** Runs the operators' command against the platform. */
   operate(...args: string[]): Promise<OperatorEnd>;
@@ -34,8 +34,8 @@
 }
 
 /**
- * Starts the stage; stops what was started when it fails. `settings` change those of all routers,
- * by section.
+ * Starts all components; if one fails, stops those already started. `settings` override the settings
+ * of all routers, by section.
  *
  * @example
  * const stage = await startStage(deployments['tsagaan-deel'], directory, 1);
@@ -59,7 +59,7 @@
   }
 }
 
-interface StageSite {
+interface StageContext {
   plan: DeploymentPlan;
   directory: string;
   seed: number;
@@ -68,8 +68,8 @@
   close: () => Promise<void>;
 }
 
-async function buildStage(site: StageSite): Promise<ProveStage> {
-  const { plan, directory, seed, closers, close } = site;
+async function buildStage(context: StageContext): Promise<ProveStage> {
+  const { plan, directory, seed, closers, close } = context;
   const listenPorts = Object.fromEntries(plan.dataCentres.map((name) => [name, 0]));
   const platform = await createPlatformStandIn({
     listenPorts,
@@ -87,7 +87,7 @@
   const file = await writeDeclarations(directory, 'declarations', [PROVE_MODEL]);
   const applied = await operate('apply', file, '--acknowledge', 'allows-repeats');
   if (applied.code !== 0) throw new LabError('apply-failed', applied.output);
-  const fleet = await createFleet(site, platform, network);
+  const fleet = await createFleet(context, platform, network);
   closers.push(() => fleet.stop());
   await fleet.start();
   return { plan, platform, backends, network, fleet, directory, stopFaults: [], operate, close };
@@ -108,7 +108,7 @@
 }
 
 async function createFleet(
-  { plan, directory, settings }: StageSite,
+  { plan, directory, settings }: StageContext,
   platform: PlatformStandIn,
   network: Network,
 ): Promise<FleetRunner> {
@@ -128,7 +128,7 @@
   });
 }
 
-/** Reads ledger and journals at one moment, past every fault of the platform. */
+/** Reads a consistent snapshot of ledger and journals; platform faults do not affect it. */
 export function readMoney(platform: PlatformStandIn): MoneyView {
   return {
     ledgers: readAll<LedgerPage>(platform, 'ledgers'),
@@ -136,7 +136,7 @@
   };
 }
 
-/** Reads the bills of open and closed segments. */
+/** Reads the bills of the open and closed segments. */
 export function readBills(platform: PlatformStandIn): Bill[] {
   const open = readAll<JournalState>(platform, 'journals');
   const closed = readAll<BillSegment>(platform, 'segments').filter((segment) =>
@@ -147,7 +147,7 @@
   return [...open, ...closed].flatMap(({ bills }) => bills);
 }
 
-/** Reads the values of a collection. */
+/** Reads all values of a collection. */
 export function readAll<T>(platform: PlatformStandIn, collection: string): T[] {
   return platform.table.list(collection).map(({ json }) => JSON.parse(json) as T);
 }
--- a/packages/lab/src/node/prove/runProve.ts
+++ b/packages/lab/src/node/prove/runProve.ts
@@ -1,7 +1,7 @@
-/** Runs the proof of all promises, on one fleet. */
+/** Runs the proof of all promises on one fleet. */
 
 import type { PromiseNumber, ProveResult } from '../../types/prove.js';
-import type { PhaseSite } from './loadPhase.js';
+import type { PhaseContext } from './loadPhase.js';
 import { mkdtemp } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -16,12 +16,12 @@
 /** Options of {@link runProve}. */
 export interface ProveOptions {
   seed: number;
-  /** Runs only what this promise needs. */
+  /** Runs only the phases that check this promise. */
   only?: PromiseNumber;
   onProgress: (line: string) => void;
 }
 
-type PhaseRun = (site: PhaseSite) => Promise<object>;
+type PhaseRun = (context: PhaseContext) => Promise<object>;
 
 interface ListedPhase {
   promises: readonly PromiseNumber[];
@@ -29,20 +29,20 @@
 }
 
 const MS_PER_SECOND = 1_000;
-/** Seeds of the phases of one run lie next to each other. */
+/** Distance of the seeds of two runs; the phases of a run use consecutive seeds. */
 const SEED_STEP = 100;
 
 const phases: ListedPhase[] = [
   ...loadPhases.map((phase): ListedPhase => ({
     promises: phase.mayBreak ? [1, 2, 3, 4, 5] : [1, 2, 3, 4, 5, 7],
-    run: (site) => runLoadPhase(site, phase),
+    run: (context) => runLoadPhase(context, phase),
   })),
   { promises: [6], run: runLeavingPhase },
   { promises: [8], run: runConfigurationPhase },
 ];
 
 /**
- * Proves the promises with real router processes.
+ * Checks the promises with real router processes under injected faults.
  *
  * @example
  * const { promises } = await runProve({ seed: 1, onProgress: console.error });
--- a/packages/lab/src/node/prove/watchers.ts
+++ b/packages/lab/src/node/prove/watchers.ts
@@ -1,4 +1,4 @@
-/** Looks at budgets and configuration again and again while faults are injected. */
+/** Samples budgets and configuration periodically while faults are injected. */
 
 import type { FleetRunner } from '../fleetRunner/index.js';
 import type { ProveStage } from './proveStage.js';
@@ -18,7 +18,7 @@
 
 export type RouterStatus = z.infer<typeof statusSchema>;
 
-/** What a watcher has seen. */
+/** Samples and violations of a watcher. */
 export interface Watch {
   samples: number;
   violations: string[];
@@ -26,7 +26,7 @@
   stop(): void;
 }
 
-/** Samples ledger and journals. */
+/** Samples ledger and journals and checks that no budget is exceeded. */
 export function watchMoney(stage: ProveStage): Watch {
   const seen = new Set<string>();
   const watch: Watch = { samples: 0, violations: [], stop: () => undefined };
@@ -41,7 +41,7 @@
   return watch;
 }
 
-/** Samples the revision in force at each router; it must never fall, also not over a restart. */
+/** Samples the revision in force at each router; it must not decrease, not even after a restart. */
 export function watchRevisions(fleet: FleetRunner): Watch {
   const highest = new Map<number, number>();
   const watch: Watch = { samples: 0, violations: [], stop: () => undefined };
@@ -66,7 +66,7 @@
   return watch;
 }
 
-/** Reads `/readyz`; `undefined` when the router does not answer. */
+/** Reads `/readyz`; returns `undefined` if the router does not answer. */
 export async function readStatus(entryUrl: string): Promise<RouterStatus | undefined> {
   try {
     const signal = AbortSignal.timeout(STATUS_TIMEOUT_MS);
