--- a/packages/lab/src/node/capacity/capacityDeclarations.ts
+++ b/packages/lab/src/node/capacity/capacityDeclarations.ts
@@ -1,28 +1,28 @@
-/** Declared objects that the measurements write straight into a store. */
+/** Declarations that the measurements write directly into a store. */
 
 import type { Declaration } from '@flamingocourse/core';
 import type { ObjectTable } from '@flamingocourse/store';
 import { createHash } from 'node:crypto';
 import { LabError } from '../../utils/labError.js';
 
-/** Service, model and class that the measurements call. */
+/** Service, model and work class that the measurements use. */
 export const measured = { service: 'deel-llm', model: 'deel-7b', workClass: 'drafts' };
 
 const OPENING_TOKENS = 1_000_000_000;
 const PLACES_PER_SERVER = 2_000;
 const TARGET_MS = 30_000;
 
-/** Name of an account by its number. */
+/** Returns the name of an account. */
 export function accountName(index: number): string {
   return `account-${String(index).padStart(6, '0')}`;
 }
 
-/** Key with which the account's callers come. */
+/** Returns the API key of the callers of an account. */
 export function accountKey(index: number): string {
   return `key-of-${accountName(index)}`;
 }
 
-/** A client account; another `version` differs in its opening budget. */
+/** Returns a client account; versions of it differ in the opening budget. */
 export function declaredAccount(index: number, version = 0): Declaration {
   const digest = createHash('sha256').update(accountKey(index)).digest('hex');
   return {
@@ -34,12 +34,12 @@
   };
 }
 
-/** Declares a number of accounts. */
+/** Declares `count` accounts. */
 export function declareAccounts(table: ObjectTable, count: number): void {
   for (let index = 0; index < count; index += 1) declareOne(table, declaredAccount(index));
 }
 
-/** Declares one model service, with servers that take all that comes, and one class. */
+/** Declares one work class and one model service, whose servers accept the whole load. */
 export function declareService(table: ObjectTable): void {
   declareOne(table, {
     kind: 'Service',
--- a/packages/lab/src/node/capacity/capacityModel.ts
+++ b/packages/lab/src/node/capacity/capacityModel.ts
@@ -1,6 +1,7 @@
 /**
- * What each role costs at a given size, as the code stands: measured lines, drawn out to that size,
- * times how often the settings and periods in the code let the mechanism run.
+ * Estimates the cost of each role at a given fleet size, for the current code: the measured cost
+ * lines are extrapolated to that size and multiplied by how often the mechanism runs, which follows
+ * from the default settings and the periods in the code.
  */
 
 import type { CostLines } from './types.js';
@@ -10,41 +11,41 @@
 import { heartbeatTargetsOf } from './fleetCosts.js';
 import { controlBudget, platformLimits, sharesOf } from './targetSize.js';
 
-/** One mechanism's cost in one role. */
+/** Cost of one mechanism in one role. */
 export interface CapacityRow {
   role: string;
   mechanism: string;
   cost: number;
   unit: string;
-  /** What it may cost; absent where the letter sets no limit. */
+  /** Limit of the cost; absent if the requirements set none. */
   limit?: number;
-  /** How many times beyond its measured values a line was drawn; 1 where it was not. */
+  /** Extrapolation factor beyond the largest measured value; 1 if not extrapolated. */
   drawnOut: number;
 }
 
 const MS_PER_SECOND = 1_000;
-/** One router is one thread. */
+/** A router runs on one thread, which has 1,000 ms of processor time per second. */
 const CORE_MS = 1_000;
-/** Age at which a router reads the journal again; the period of the budget service. */
+/** Interval at which a router reads the journal; the period of the budget service. */
 const JOURNAL_READ_SECONDS = 2;
-/** Bills of an open segment before it is closed, at the size that closes it. */
+/** Bills of an open segment when it reaches the size at which it is closed. */
 const OPEN_BILLS = 667;
-/** Lines of an ordinary request: its bill, and now and then a take or a give. */
+/** Journal lines of a typical request: its bill, and occasionally a take or a give. */
 const LINES_PER_REQUEST = 1.2;
-/** Calls of an operator's change: reads, the change, its audit. */
+/** Platform calls of an operator's change: reads, the change and its audit entry. */
 const CALLS_PER_CHANGE = 4;
-/** Journal writes that settle a dead router: one begins to seal it, one ends it. */
+/** Journal writes to seal a crashed router: one starts the sealing, one completes it. */
 const WRITES_PER_SEAL = 2;
-/** Longest outage that the letter names. */
+/** Longest outage in the requirements. */
 const OUTAGE_SECONDS = 3_600;
-/** Most pages that the settings permit. */
-const MOST_PAGES = 1_024;
+/** Largest number of ledger pages that the settings permit. */
+const MAX_PAGES = 1_024;
 
 const commitsPerSecond = MS_PER_SECOND / settingsDefaults.budget.groupCommitMs;
 const syncsPerSecond = MS_PER_SECOND / settingsDefaults.budget.ledgerSyncMs;
 
 /**
- * Works out all rows.
+ * Estimates the costs of all roles.
  *
  * @example
  * const rows = workOutCapacity(lines, targetSize);
@@ -55,31 +56,31 @@
   addEntryRouter(sheet);
   addControlOfEachRouter(sheet);
   addCommitter(sheet);
-  addTreasurer(sheet);
+  addLedgerSync(sheet);
   addRelayAndWitness(sheet);
   addPlatform(sheet);
   return sheet.rows;
 }
 
-/** Rows over their limits, the worst first: what breaks first as the fleet grows. */
+/** Returns the rows over their limits, sorted by how far they exceed them. */
 export function findBreaks(rows: readonly CapacityRow[]): CapacityRow[] {
   return rows
     .filter((row) => timesLimit(row) > 1)
     .sort((one, other) => timesLimit(other) - timesLimit(one));
 }
 
-/** Cost as a multiple of its limit; 0 without one. */
+/** Returns the cost as a multiple of its limit; 0 without a limit. */
 export function timesLimit({ cost, limit }: CapacityRow): number {
   return limit === undefined ? 0 : cost / limit;
 }
 
-/** Collects rows, and looks lines up at the values of one size. */
+/** Collects rows, and evaluates cost lines for one fleet size. */
 class Sheet {
   readonly rows: CapacityRow[] = [];
   readonly size: FleetSize;
   readonly shares: SizeShares;
   readonly #lines: CostLines;
-  #drawnOut = 1;
+  #extrapolation = 1;
 
   constructor(lines: CostLines, size: FleetSize) {
     this.#lines = lines;
@@ -87,29 +88,29 @@
     this.shares = sharesOf(size);
   }
 
-  /** Cost along a line; the next row notes how far it was drawn out. */
-  at(name: string, values: Record<string, number>): number {
-    this.#drawnOut = Math.max(this.#drawnOut, extrapolation(this.#lines, name, values));
+  /** Cost on a line; the next row records the extrapolation factor. */
+  cost(name: string, values: Record<string, number>): number {
+    this.#extrapolation = Math.max(this.#extrapolation, extrapolation(this.#lines, name, values));
     return costAt(this.#lines, name, values);
   }
 
-  /** The part of a cost that comes from the drivers, without the fixed part. */
-  above(name: string, values: Record<string, number>): number {
-    return Math.max(0, this.at(name, values) - costAt(this.#lines, name, {}));
+  /** Cost on a line without its fixed part. */
+  variableCost(name: string, values: Record<string, number>): number {
+    return Math.max(0, this.cost(name, values) - costAt(this.#lines, name, {}));
   }
 
-  /** The part of a cost that comes from one driver alone. */
-  part(name: string, driver: string, value: number): number {
-    this.#drawnOut = Math.max(
-      this.#drawnOut,
+  /** Part of the cost that one driver causes. */
+  driverCost(name: string, driver: string, value: number): number {
+    this.#extrapolation = Math.max(
+      this.#extrapolation,
       extrapolation(this.#lines, name, { [driver]: value }),
     );
     return (this.#lines.get(name)?.slopes[driver] ?? 0) * value;
   }
 
   add(role: string, mechanism: string, cost: number, unit: string, limit?: number): void {
-    const drawnOut = this.#drawnOut;
-    this.#drawnOut = 1;
+    const drawnOut = this.#extrapolation;
+    this.#extrapolation = 1;
     this.rows.push({
       role,
       mechanism,
@@ -120,10 +121,10 @@
     });
   }
 
-  /** A row that sums earlier ones, and is drawn out as far as the farthest of them. */
+  /** Adds a row that sums earlier rows, with the largest of their extrapolation factors. */
   addSum(role: string, mechanism: string, parts: string[], limit: number): void {
     const summed = this.rows.filter((row) => parts.includes(row.mechanism));
-    this.#drawnOut = Math.max(...summed.map((row) => row.drawnOut));
+    this.#extrapolation = Math.max(...summed.map((row) => row.drawnOut));
     const cost = summed.reduce((sum, row) => sum + row.cost, 0);
     this.add(role, mechanism, cost, summed[0]?.unit ?? '', limit);
   }
@@ -137,13 +138,19 @@
   const role = 'entry router';
   const { requestsPerNode, tokensPerNode, streamsPerNode } = sheet.shares;
   const work = { requests: requestsPerNode, tokens: tokensPerNode };
-  sheet.add(role, 'whole process: requests and tokens', sheet.at('router.cpu', work), cpu, CORE_MS);
-  const streams = sheet.above('router.streams', { streams: streamsPerNode });
+  sheet.add(
+    role,
+    'whole process: requests and tokens',
+    sheet.cost('router.cpu', work),
+    cpu,
+    CORE_MS,
+  );
+  const streams = sheet.variableCost('router.streams', { streams: streamsPerNode });
   sheet.add(role, 'answers under way', streams, 'B');
   const servers = sheet.size.servers / sheet.size.services;
-  const placement = sheet.at('pool.placement', { servers });
+  const placement = sheet.cost('pool.placement', { servers });
   sheet.add(role, 'choice of a server', placement * requestsPerNode, cpu, CORE_MS);
-  const step = sheet.at('queue.step', { length: settingsDefaults.routing.maxQueue });
+  const step = sheet.cost('queue.step', { length: settingsDefaults.routing.maxQueue });
   sheet.add(role, 'full admission queue', step * requestsPerNode, cpu, CORE_MS);
 }
 
@@ -152,19 +159,25 @@
   const { size, shares } = sheet;
   const { coreMsPerSecond, bytes, bytesPerSecond } = controlBudget;
   const targets = heartbeatTargetsOf(shares.nodesPerCentre, size.dataCentres);
-  sheet.add(role, 'heartbeats', sheet.at('heartbeat.bytes', { targets }), traffic, bytesPerSecond);
-  sheet.add(role, 'heartbeats', sheet.at('heartbeat.cpu', { targets }), cpu, coreMsPerSecond);
-  const rest = sheet.at('router.rest', { accounts: size.accounts });
+  sheet.add(
+    role,
+    'heartbeats',
+    sheet.cost('heartbeat.bytes', { targets }),
+    traffic,
+    bytesPerSecond,
+  );
+  sheet.add(role, 'heartbeats', sheet.cost('heartbeat.cpu', { targets }), cpu, coreMsPerSecond);
+  const rest = sheet.cost('router.rest', { accounts: size.accounts });
   sheet.add(role, 'whole process at rest, 4 servers', rest, cpu, coreMsPerSecond);
-  const probes = sheet.above('router.probes', { servers: size.servers });
+  const probes = sheet.variableCost('router.probes', { servers: size.servers });
   sheet.add(role, 'load probes of all servers', probes, cpu, coreMsPerSecond);
   const objects = { objects: size.accounts };
   const perSecond = shares.changesPerSecond;
-  const changeBytes = sheet.at('change.bytes', objects) * perSecond;
+  const changeBytes = sheet.cost('change.bytes', objects) * perSecond;
   sheet.add(role, 'changes of configuration', changeBytes, traffic, bytesPerSecond);
-  const changeCpu = sheet.at('change.cpu', objects) * perSecond;
+  const changeCpu = sheet.cost('change.cpu', objects) * perSecond;
   sheet.add(role, 'changes of configuration', changeCpu, cpu, coreMsPerSecond);
-  const declared = sheet.above('router.accounts', { accounts: size.accounts });
+  const declared = sheet.variableCost('router.accounts', { accounts: size.accounts });
   sheet.add(role, 'declarations and budgets in memory', declared, 'B', bytes);
   const journal = journalBytes(sheet, OPEN_BILLS) / JOURNAL_READ_SECONDS;
   sheet.add(role, 'journal read every 2 s', journal, traffic, bytesPerSecond);
@@ -179,7 +192,7 @@
   const { size, shares } = sheet;
   const bytes = journalBytes(sheet, OPEN_BILLS);
   sheet.add(role, 'journal object', bytes, 'B', platformLimits.valueBytes);
-  const commit = sheet.at('journal.commit', {
+  const commit = sheet.cost('journal.commit', {
     slices: shares.nodesPerCentre * size.accounts,
     accounts: size.accounts,
     bills: OPEN_BILLS,
@@ -190,31 +203,31 @@
   sheet.add(role, 'answers to all its peers', answers * shares.nodesPerCentre, traffic);
 }
 
-function addTreasurer(sheet: Sheet): void {
+function addLedgerSync(sheet: Sheet): void {
   const role = 'treasurer of a ledger page';
   const { size, shares } = sheet;
   const { valueBytes } = platformLimits;
   sheet.add(role, 'page, 1 page (default)', ledgerBytes(sheet, size.budgets), 'B', valueBytes);
-  const perPage = size.budgets / MOST_PAGES;
+  const perPage = size.budgets / MAX_PAGES;
   sheet.add(role, 'page, 1,024 pages (most)', ledgerBytes(sheet, perPage), 'B', valueBytes);
-  const sync = sheet.at('ledger.sync', {
+  const sync = sheet.cost('ledger.sync', {
     shares: perPage * size.dataCentres,
     pairs: perPage * perPage,
   });
-  const pagesPerNode = MOST_PAGES / shares.nodesPerCentre;
+  const pagesPerNode = MAX_PAGES / shares.nodesPerCentre;
   const syncs = sync * pagesPerNode * syncsPerSecond;
   sheet.add(role, 'syncs, 1,024 pages', syncs, cpu, controlBudget.coreMsPerSecond);
 }
 
 function addRelayAndWitness(sheet: Sheet): void {
   const { size, shares } = sheet;
-  const perNode = sheet.at('change.bytes', { objects: size.accounts });
+  const perNode = sheet.cost('change.bytes', { objects: size.accounts });
   const relayed = perNode * shares.nodesPerCentre * shares.changesPerSecond;
   const { bytes, bytesPerSecond } = controlBudget;
   sheet.add('relay of a data centre', 'changes told to all', relayed, traffic, bytesPerSecond);
   const lines = shares.requestsPerNode * LINES_PER_REQUEST * OUTAGE_SECONDS;
-  const kept = sheet.part('journal.bytes', 'bills', lines);
-  sheet.add('witness', 'lines of one holder, 1 h of outage', kept, 'B', bytes);
+  const stored = sheet.driverCost('journal.bytes', 'bills', lines);
+  sheet.add('witness', 'lines of one holder, 1 h of outage', stored, 'B', bytes);
 }
 
 function addPlatform(sheet: Sheet): void {
@@ -223,11 +236,11 @@
   const { nodes, dataCentres: centres, services } = size;
   const { readsPerSecond, writesPerSecond } = platformLimits;
   const fleet = { centres, routers: nodes };
-  const lists = sheet.at('calls.rest.instances', fleet) * services;
+  const lists = sheet.cost('calls.rest.instances', fleet) * services;
   sheet.add(role, 'instance lists, one a service and router', lists, calls, readsPerSecond);
-  const gets = sheet.at('calls.rest.get', fleet);
+  const gets = sheet.cost('calls.rest.get', fleet);
   sheet.add(role, 'reads of journal and one ledger page', gets, calls, readsPerSecond);
-  const drains = sheet.at('calls.rest.list', { centres, routers: 0 });
+  const drains = sheet.cost('calls.rest.list', { centres, routers: 0 });
   sheet.add(role, 'reads of orders, one a data centre', drains, calls, readsPerSecond);
   sheet.add(role, 'waiting watches, one a data centre', centres, 'calls');
   sheet.add(
@@ -241,7 +254,7 @@
   sheet.add(role, 'claims, if every request has a key', claims, calls, writesPerSecond);
   const pages = centres * syncsPerSecond;
   sheet.add(role, 'ledger writes, 1 page', pages, calls, writesPerSecond);
-  sheet.add(role, 'ledger writes, 1,024 pages', pages * MOST_PAGES, calls, writesPerSecond);
+  sheet.add(role, 'ledger writes, 1,024 pages', pages * MAX_PAGES, calls, writesPerSecond);
   const seals = shares.restartsPerSecond * WRITES_PER_SEAL;
   sheet.add(role, 'sealing of dead routers', seals, calls, writesPerSecond);
   const changes = shares.changesPerSecond * CALLS_PER_CHANGE;
@@ -261,19 +274,19 @@
   sheet.addSum(role, 'all writes, 1 page, without keys', unkeyed, writesPerSecond);
 }
 
-/** Updates of claim pages that requests with a key add to those of requests without. */
+/** Additional updates of claim pages that requests with a key cause. */
 function claimWrites(sheet: Sheet, requests: number): number {
-  const keyed = sheet.part('calls.key.update', 'requests', requests);
-  return Math.max(0, keyed - sheet.part('calls.none.update', 'requests', requests));
+  const keyed = sheet.driverCost('calls.key.update', 'requests', requests);
+  return Math.max(0, keyed - sheet.driverCost('calls.none.update', 'requests', requests));
 }
 
-/** Every router comes to hold a slice of every account in steady use. */
+/** Journal size; assumes that each router holds a slice of each account, as in steady use. */
 function journalBytes(sheet: Sheet, bills: number): number {
   const holders = sheet.shares.nodesPerCentre;
   const { accounts } = sheet.size;
-  return sheet.at('journal.bytes', { holders, slices: holders * accounts, accounts, bills });
+  return sheet.cost('journal.bytes', { holders, slices: holders * accounts, accounts, bills });
 }
 
 function ledgerBytes(sheet: Sheet, accounts: number): number {
-  return sheet.at('ledger.bytes', { accounts, shares: accounts * sheet.size.dataCentres });
+  return sheet.cost('ledger.bytes', { accounts, shares: accounts * sheet.size.dataCentres });
 }
--- a/packages/lab/src/node/capacity/capacityReport.ts
+++ b/packages/lab/src/node/capacity/capacityReport.ts
@@ -1,4 +1,4 @@
-/** Lays slopes, roles and breaks out as a report. */
+/** Creates the report of slopes, costs per role, and exceeded limits. */
 
 import type { ReportDocument, ReportTable } from '../../types/report.js';
 import type { CapacityRow } from './capacityModel.js';
@@ -10,7 +10,7 @@
 const DIGITS = 3;
 
 /**
- * Builds the report of a run.
+ * Creates the report of a run.
  *
  * @example
  * process.stdout.write(renderText(createCapacityReport(lines, 1)));
@@ -27,8 +27,8 @@
     tables: [
       slopeTable([...lines.values()]),
       roleTable(rows),
-      breakTable('What breaks first: lines over their limit, the worst first', rows),
-      breakTable('Today: lines over their limit', workOutCapacity(lines, todaySize)),
+      exceededLimitsTable('What breaks first: lines over their limit, the worst first', rows),
+      exceededLimitsTable('Today: lines over their limit', workOutCapacity(lines, todaySize)),
     ],
     charts: [],
   };
@@ -66,7 +66,7 @@
   };
 }
 
-function breakTable(title: string, rows: CapacityRow[]): ReportTable {
+function exceededLimitsTable(title: string, rows: CapacityRow[]): ReportTable {
   return {
     title,
     columns: ['role', 'mechanism', 'cost', 'unit', 'times limit'],
--- a/packages/lab/src/node/capacity/costLine.ts
+++ b/packages/lab/src/node/capacity/costLine.ts
@@ -1,23 +1,24 @@
-/** Draws cost lines through measured points by least squares. */
+/** Fits cost lines to measured points by least squares. */
 
 import type { CostLine, CostLines, CostPoint } from './types.js';
 import { LabError } from '../../utils/labError.js';
 
-/** Below this a column adds nothing that the others do not say. */
-const SINGULAR = 1e-9;
+/** A pivot below this value means that the column depends linearly on the others. */
+const MIN_PIVOT = 1e-9;
 
-/** Fewest points that say anything about a slope. */
+/** Minimum number of points for a meaningful slope. */
 const MIN_POINTS = 3;
 
-/** What a line is drawn from. */
+/** Input of {@link fitCostLine}. */
 export type CostLineOptions = Pick<CostLine, 'name' | 'unit' | 'drivers' | 'points'>;
 
 /**
- * Fits a line; throws `too-few-points` below three, or when the runs did not vary every driver.
+ * Fits a line. Throws `too-few-points` for fewer than three points, or if the runs did not vary every
+ * driver.
  *
  * @example
  * const line = fitCostLine({ name: 'queue.offer', unit: 'µs', drivers: ['length'], points });
- * line.slopes.length; // microseconds for each waiting request
+ * line.slopes.length; // microseconds per waiting request
  */
 export function fitCostLine(options: CostLineOptions): CostLine {
   const { name, drivers, points } = options;
@@ -37,16 +38,17 @@
     ...options,
     fixed,
     slopes: Object.fromEntries(slopes) as Record<string, number>,
-    fit: explainedPart(costs, predicted),
+    fit: coefficientOfDetermination(costs, predicted),
     measuredTo: Object.fromEntries(drivers.map((driver) => [driver, largest(points, driver)])),
   };
 }
 
 /**
- * Cost at given values of the drivers, along the line and never below zero.
+ * Returns the cost on a line at the given values of its drivers; never below zero. Throws
+ * `too-few-points` if the line was not measured.
  *
  * @example
- * costAt(lines, 'heartbeat.bytes', { nodes: 128 });
+ * costAt(lines, 'heartbeat.bytes', { targets: 11 });
  */
 export function costAt(lines: CostLines, name: string, at: Record<string, number>): number {
   const line = lines.get(name);
@@ -55,7 +57,7 @@
   return Math.max(0, line.fixed + sumOf(parts));
 }
 
-/** How many times beyond its measured values a line is used, by its most stretched driver. */
+/** Returns the largest ratio of a driver's value to its largest measured value; at least 1. */
 export function extrapolation(lines: CostLines, name: string, at: Record<string, number>): number {
   const line = lines.get(name);
   if (!line) return Infinity;
@@ -63,7 +65,7 @@
   return Math.max(1, ...factors);
 }
 
-/** The middle of some values; the mean of the two middle ones of an even number. */
+/** Median; for an even number of values, the mean of the two middle ones. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   const upper = sorted[Math.floor(sorted.length / 2)] ?? 0;
@@ -80,7 +82,7 @@
   return Math.max(...points.map(({ at }) => at[driver] ?? 0));
 }
 
-/** Rows of the normal equations, each with its right side at the end. */
+/** Returns the augmented matrix of the normal equations; the last column is the right side. */
 function normalEquations(rows: readonly number[][], costs: readonly number[]): number[][] {
   const width = rows[0]?.length ?? 0;
   return Array.from({ length: width }, (_, i) => [
@@ -89,21 +91,21 @@
   ]);
 }
 
-/** Gaussian elimination with pivots; none when the equations do not determine all values. */
+/** Gaussian elimination with pivoting; returns `undefined` for a singular matrix. */
 function solve(equations: number[][]): number[] | undefined {
   const size = equations.length;
-  const left = equations.map((row) => [...row]);
+  const matrix = equations.map((row) => [...row]);
   for (let column = 0; column < size; column += 1) {
-    const rest = left.slice(column);
+    const rest = matrix.slice(column);
     const pivot = rest.reduce((a, b) => (magnitude(b, column) > magnitude(a, column) ? b : a));
-    if (magnitude(pivot, column) < SINGULAR) return undefined;
-    left.splice(left.indexOf(pivot), 1);
-    left.splice(column, 0, pivot);
-    for (const row of left) {
+    if (magnitude(pivot, column) < MIN_PIVOT) return undefined;
+    matrix.splice(matrix.indexOf(pivot), 1);
+    matrix.splice(column, 0, pivot);
+    for (const row of matrix) {
       if (row !== pivot) subtract(row, pivot, at(row, column) / at(pivot, column));
     }
   }
-  return left.map((row, i) => at(row, size) / at(row, i));
+  return matrix.map((row, i) => at(row, size) / at(row, i));
 }
 
 function subtract(row: number[], other: readonly number[], times: number): void {
@@ -112,11 +114,14 @@
   });
 }
 
-function explainedPart(costs: readonly number[], predicted: readonly number[]): number {
+function coefficientOfDetermination(
+  costs: readonly number[],
+  predicted: readonly number[],
+): number {
   const mean = sumOf(costs) / costs.length;
   const total = sumOf(costs.map((cost) => (cost - mean) ** 2));
-  const rest = sumOf(costs.map((cost, i) => (cost - at(predicted, i)) ** 2));
-  return total === 0 ? 1 : 1 - rest / total;
+  const residual = sumOf(costs.map((cost, i) => (cost - at(predicted, i)) ** 2));
+  return total === 0 ? 1 : 1 - residual / total;
 }
 
 function magnitude(row: readonly number[], column: number): number {
--- a/packages/lab/src/node/capacity/cpuTime.ts
+++ b/packages/lab/src/node/capacity/cpuTime.ts
@@ -1,55 +1,56 @@
-/** Processor time and memory of this process and of others. */
+/** Measures processor time and memory of this and other processes. */
 
 import { readFile } from 'node:fs/promises';
 import { LabError } from '../../utils/labError.js';
 import { median } from './costLine.js';
 
-/** Clock ticks a second in `/proc/PID/stat`; fixed on Linux for all programs. */
+/** Clock ticks per second in `/proc/PID/stat`; constant for all programs on Linux. */
 const TICKS_PER_SECOND = 100;
 const MS_PER_TICK = 1_000 / TICKS_PER_SECOND;
 const BYTES_PER_KIB = 1_024;
-/** User and system time in `/proc/PID/stat`, counted from the field after the command's name. */
+/** Indexes of user and system time in `/proc/PID/stat`, from the field after the command name. */
 const USER_TICKS = 11;
 const SYSTEM_TICKS = 12;
 
-/** Processor time that one repetition must take, so that the clock's grain does not show. */
+/** Minimum processor time of a repetition, so that the clock's resolution does not matter. */
 const MIN_REPETITION_MS = 15;
 const REPETITIONS = 5;
 const US_PER_MS = 1_000;
 
-/** What a process has used. */
+/** Resource usage of a process. */
 export interface ProcessUsage {
-  /** User and system time since its start, in milliseconds, to 10 ms. */
+  /** User and system time since the start, in milliseconds, with a resolution of 10 ms. */
   cpuMs: number;
   /** Resident memory in bytes. */
   residentBytes: number;
 }
 
-/** Reads the usage of a process from `/proc`; throws `no-usage` when there is none. */
+/** Reads the usage of a process from `/proc`; throws `no-usage` if it cannot be read. */
 export async function readProcessUsage(pid: number): Promise<ProcessUsage> {
   try {
     const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
     const status = await readFile(`/proc/${pid}/status`, 'utf8');
-    // the command's name may hold spaces and brackets; the last bracket ends it.
+    // the command name may contain spaces and parentheses; the last parenthesis ends it.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     const ticks = Number(fields[USER_TICKS]) + Number(fields[SYSTEM_TICKS]);
     const resident = /^VmRSS:\s+(\d+) kB/m.exec(status)?.[1];
     return { cpuMs: ticks * MS_PER_TICK, residentBytes: Number(resident) * BYTES_PER_KIB };
   } catch (err) {
-    const message = `the usage of process ${pid} cannot be read; this needs Linux's /proc`;
+    const message = `cannot read the usage of process ${pid}; this requires /proc of Linux`;
     throw new LabError('no-usage', message, { cause: err });
   }
 }
 
-/** Processor time of this process so far, in milliseconds, with all its threads. */
+/** Processor time of all threads of this process since its start, in milliseconds. */
 export function ownCpuMs(): number {
   const { user, system } = process.cpuUsage();
   return (user + system) / US_PER_MS;
 }
 
 /**
- * Processor time of one call in milliseconds: the median of five repetitions, each of as many calls
- * as the clock needs. A first repetition, which compiles the code, is not counted.
+ * Returns the processor time of one call in milliseconds: the median of five repetitions, each with
+ * enough calls for the resolution of the clock. Earlier repetitions, which also compile the code, are
+ * not counted.
  *
  * @example
  * const ms = cpuMsPerCall(() => JSON.stringify(page));
--- a/packages/lab/src/node/capacity/fleetCosts.ts
+++ b/packages/lab/src/node/capacity/fleetCosts.ts
@@ -1,7 +1,7 @@
 /**
- * Bytes and processor time of membership and configuration: the real services of many routers in
- * this process, over real connections, without the request path. Both ends of each call run here,
- * so a node's part of the total is what a node sends and does.
+ * Measures traffic and processor time of membership and configuration. The real services of many
+ * routers run in this process over real connections, without the request path. Both ends of each
+ * call run here, so that the total divided by the number of nodes is the cost of one node.
  */
 
 import type { Kernel } from '@flamingocourse/kernel';
@@ -26,27 +26,31 @@
 
 const HOST = '127.0.0.1';
 const CENTRES = 4;
-/** Beats until every node knows its peers, and beats that are measured after that. */
-const SETTLE_BEATS = 6;
-const MEASURED_BEATS = 8;
-/** Most peers of the own data centre, and part of the other ones, that get one beat. */
+/** Heartbeats until each node knows its peers, and heartbeats measured after that. */
+const SETTLE_HEARTBEATS = 6;
+const MEASURED_HEARTBEATS = 8;
+/** Maximum number of local peers, and fraction of the other data centres, that get a heartbeat. */
 const LOCAL_TARGETS = 6;
 const REMOTE_SHARE = 1 / 4;
 const CHANGES = 8;
 const CHANGE_GAP_MS = 400;
-/** Longest wait for the changes; larger fleets beat slower here, so this is no measure of speed. */
+/**
+ * Time limit for the changes to be in force. Larger fleets use longer heartbeat intervals here, so
+ * this is not a measurement of latency.
+ */
 const IN_FORCE_MS = 20_000;
 /**
- * Nodes that one process carries at the default beat. With more of them beats are longer in
- * proportion, and the cost at rest is scaled back: the cost of a beat does not depend on its length,
- * but a saturated process would skip beats and show too little.
+ * Number of nodes that one process can run at the default heartbeat interval. With more nodes, the
+ * interval is proportionally longer and the cost at rest is scaled up accordingly: the cost of a
+ * heartbeat does not depend on the interval, but a saturated process would skip heartbeats and the
+ * measured cost would be too low.
  */
-const NODES_AT_FULL_BEAT = 24;
-/** Nodes started at once. */
-const STARTED_AT_ONCE = 16;
+const NODES_AT_DEFAULT_INTERVAL = 24;
+/** Number of nodes that start concurrently. */
+const MAX_CONCURRENT_STARTS = 16;
 const MS_PER_SECOND = 1_000;
 
-/** Fleets at rest and under changes; the number of objects is varied with few nodes. */
+/** Fleets measured at rest and under changes; the number of objects varies with few nodes. */
 const RUNS = [
   { nodes: 8, objects: 100 },
   { nodes: 32, objects: 100 },
@@ -70,7 +74,7 @@
   changeCpuMs: number;
 }
 
-/** Measures all runs, one after the other. */
+/** Measures all runs, one after another. */
 export async function measureFleets(onProgress: Progress): Promise<CostLine[]> {
   const figures: FleetFigures[] = [];
   for (const run of RUNS) {
@@ -78,17 +82,23 @@
     figures.push(await measureFleet(run));
   }
   const atRest = figures.filter(({ objects }) => objects === RUNS[0]?.objects);
-  // each node fetches a change once, so its cost depends on what it holds and not on the fleet.
+  // each node fetches a change once, so the cost depends on its objects, not on the fleet size.
   const drivers = ['objects'];
   return [
-    line('heartbeat.bytes', 'B/s a node', ['targets'], atRest, (item) => item.restBytes),
-    line('heartbeat.cpu', 'CPU ms/s a node', ['targets'], atRest, (item) => item.restCpuMs),
-    line('change.bytes', 'B a change and node', drivers, figures, (item) => item.changeBytes),
-    line('change.cpu', 'CPU ms a change and node', drivers, figures, (item) => item.changeCpuMs),
+    createLine('heartbeat.bytes', 'B/s a node', ['targets'], atRest, (item) => item.restBytes),
+    createLine('heartbeat.cpu', 'CPU ms/s a node', ['targets'], atRest, (item) => item.restCpuMs),
+    createLine('change.bytes', 'B a change and node', drivers, figures, (item) => item.changeBytes),
+    createLine(
+      'change.cpu',
+      'CPU ms a change and node',
+      drivers,
+      figures,
+      (item) => item.changeCpuMs,
+    ),
   ];
 }
 
-function line(
+function createLine(
   name: string,
   unit: string,
   drivers: string[],
@@ -110,18 +120,18 @@
   meter.start();
   const fleet = await startFleet(store, run.nodes);
   try {
-    const beatMs = settingsDefaults.mesh.heartbeatMs * beatFactor(run.nodes);
-    await delay(beatMs * SETTLE_BEATS);
-    const rest = await window(meter, () => delay(beatMs * MEASURED_BEATS));
-    const busy = await window(meter, () => changeRepeatedly(store, fleet));
+    const heartbeatMs = settingsDefaults.mesh.heartbeatMs * heartbeatFactor(run.nodes);
+    await delay(heartbeatMs * SETTLE_HEARTBEATS);
+    const rest = await measureWork(meter, () => delay(heartbeatMs * MEASURED_HEARTBEATS));
+    const busy = await measureWork(meter, () => changeRepeatedly(store, fleet));
     const perNode = (amount: number): number => amount / run.nodes;
     const restBytes = perNode(rest.bytes) / rest.seconds;
     const restCpuMs = perNode(rest.cpuMs) / rest.seconds;
-    const slowing = beatFactor(run.nodes);
+    const factor = heartbeatFactor(run.nodes);
     return {
       ...run,
-      restBytes: restBytes * slowing,
-      restCpuMs: restCpuMs * slowing,
+      restBytes: restBytes * factor,
+      restCpuMs: restCpuMs * factor,
       changeBytes: (perNode(busy.bytes) - restBytes * busy.seconds) / CHANGES,
       changeCpuMs: (perNode(busy.cpuMs) - restCpuMs * busy.seconds) / CHANGES,
     };
@@ -131,8 +141,8 @@
   }
 }
 
-/** What passes while something is done. */
-async function window(
+/** Measures traffic, processor time and duration of some work. */
+async function measureWork(
   meter: TrafficMeter,
   work: () => Promise<unknown>,
 ): Promise<{ bytes: number; cpuMs: number; seconds: number }> {
@@ -150,14 +160,14 @@
     declareOne(store.table, declaredAccount(0, change));
     await delay(CHANGE_GAP_MS);
   }
-  await untilInForce(fleet, Number(store.table.version));
+  await waitUntilInForce(fleet, Number(store.table.version));
 }
 
-async function untilInForce(fleet: FleetNode[], revision: number): Promise<void> {
+async function waitUntilInForce(fleet: FleetNode[], revision: number): Promise<void> {
   const end = performance.now() + IN_FORCE_MS;
   while (fleet.some(({ configuration }) => configuration.revision < revision)) {
     if (performance.now() > end) {
-      const message = `a change was not in force at all ${fleet.length} nodes in ${IN_FORCE_MS} ms`;
+      const message = `a change was not in force at all ${fleet.length} nodes after ${IN_FORCE_MS} ms`;
       throw new LabError('not-ready', message);
     }
     await delay(CHANGE_GAP_MS / 4);
@@ -169,8 +179,8 @@
   const seeds: string[] = [];
   while (fleet.length < count) {
     const first = fleet.length;
-    // the first one starts alone: it is the address at which all others ask.
-    const size = first === 0 ? 1 : Math.min(STARTED_AT_ONCE, count - first);
+    // the first node starts alone: it is the seed of the next ones.
+    const size = first === 0 ? 1 : Math.min(MAX_CONCURRENT_STARTS, count - first);
     const started = Array.from({ length: size }, (_, i) =>
       startNode(store, createContext(first + i, count, seeds.slice(0, CENTRES))),
     );
@@ -197,7 +207,8 @@
 }
 
 /**
- * Peers that get one beat of a router: some of its own data centre and, in turns, one of each other.
+ * Returns the mean number of peers that get one heartbeat of a router: some of its own data centre,
+ * and one of each other data centre in turn.
  *
  * @example
  * heartbeatTargetsOf(127, 22); // 11.25
@@ -206,9 +217,9 @@
   return Math.min(LOCAL_TARGETS, nodesPerCentre - 1) + (centres - 1) * REMOTE_SHARE;
 }
 
-/** How many times longer the beats are than by default. */
-function beatFactor(nodes: number): number {
-  return Math.max(1, nodes / NODES_AT_FULL_BEAT);
+/** Ratio of the heartbeat interval to the default. */
+function heartbeatFactor(nodes: number): number {
+  return Math.max(1, nodes / NODES_AT_DEFAULT_INTERVAL);
 }
 
 async function stopFleet(fleet: FleetNode[]): Promise<void> {
@@ -217,7 +228,7 @@
 }
 
 function createContext(index: number, count: number, seeds: string[]): RouterContext {
-  const factor = beatFactor(count);
+  const factor = heartbeatFactor(count);
   const { heartbeatMs, suspectMs, goneMs } = settingsDefaults.mesh;
   const times = {
     heartbeatMs: heartbeatMs * factor,
@@ -228,7 +239,7 @@
     instance: `router-${index}`,
     dataCentre: `dc-${index % CENTRES}`,
     entry: { publicUrl: `http://${HOST}:${index + 1}` },
-    // with port 0 the fleet takes the address of its listener.
+    // with port 0, the fleet service announces the address of its listener.
     mesh: { ...settingsDefaults.mesh, ...times, port: 0, publicUrl: '', seeds },
   } as unknown as RouterSettings;
   return {
--- a/packages/lab/src/node/capacity/journalCosts.ts
+++ b/packages/lab/src/node/capacity/journalCosts.ts
@@ -1,4 +1,4 @@
-/** Size of a journal and processor time of one group commit, by the real reducer. */
+/** Measures the size of a journal and the processor time of a group commit with the real reducer. */
 
 import type { JournalHolder, JournalLine, JournalState } from '@flamingocourse/core';
 import type { CostLine, CostPoint } from './types.js';
@@ -7,7 +7,7 @@
 import { fitCostLine } from './costLine.js';
 import { cpuMsPerCall } from './cpuTime.js';
 
-/** What a journal holds, and what one commit adds. */
+/** Contents of a journal, and number of lines that one commit adds. */
 interface JournalShape {
   holders: number;
   slicesPerHolder: number;
@@ -24,7 +24,7 @@
   lines: 20,
 };
 
-/** Each driver is varied by itself around the base, and all together in the last. */
+/** Each driver is varied separately from the base; the last shape varies all together. */
 const SHAPES: JournalShape[] = [
   BASE,
   { ...BASE, holders: 32 },
@@ -44,7 +44,7 @@
 const CLASSES = ['listing-drafts', 'stock-questions', 'reservations'];
 const SLICE_TOKENS = 1_000_000;
 const WITNESSES = 2;
-/** A time of the usual length in characters. */
+/** A timestamp with a realistic number of digits. */
 const NOW = 1_790_000_000_000;
 
 /** Measures bytes and processor time of a journal. */
@@ -68,7 +68,7 @@
   ];
 }
 
-/** What the committer computes: the new state, its text, and the reply with the text again. */
+/** Work of the committer: the new state, its serialization, and parsing the reply. */
 function commit(state: JournalState, { lines, holders }: JournalShape): unknown {
   const added = Array.from({ length: lines }, (_, i) => billLine(i, holders));
   const applied = applyLines(state, added);
@@ -101,7 +101,7 @@
 }
 
 function createHolder(index: number, shape: JournalShape): JournalHolder {
-  // neighbours hold slices of different accounts, as routers with different callers do.
+  // the holders have slices of different accounts, like routers with different callers.
   const slices = Array.from({ length: shape.slicesPerHolder }, (_, i) => [
     accountName((index + i) % shape.accounts),
     SLICE_TOKENS,
@@ -140,12 +140,12 @@
   };
 }
 
-/** A name of the length that accounts have. */
+/** Returns an account name of realistic length. */
 function accountName(index: number): string {
   return `account-${String(index).padStart(6, '0')}`;
 }
 
-/** A name as incarnations have it: data centre, instance, life. */
+/** Returns a holder name in the form of an incarnation: data centre, instance, start. */
 function holderName(index: number): string {
   return `region-1-a/router-${String(index).padStart(4, '0')}/0123456789ab`;
 }
--- a/packages/lab/src/node/capacity/ledgerCosts.ts
+++ b/packages/lab/src/node/capacity/ledgerCosts.ts
@@ -1,4 +1,4 @@
-/** Size of ledger and claim pages, and processor time of their updates, by the real reducers. */
+/** Measures the size of ledger and claim pages and the processor time of updates of them. */
 
 import type {
   ClientAccountDeclaration,
@@ -18,9 +18,9 @@
 const NOW = 1_790_000_000_000;
 const TOKENS = 1_000_000;
 const CLASSES = ['listing-drafts', 'stock-questions', 'reservations'];
-const OWN = 'region-0-a';
+const OWN_DATA_CENTRE = 'region-0-a';
 
-/** Measures a page against its accounts, data centres and claims. */
+/** Measures pages with different numbers of accounts, data centres and claims. */
 export function measurePages(): CostLine[] {
   return [...measureLedger(), ...measureClaims()];
 }
@@ -44,7 +44,7 @@
       drivers: ['accounts', 'shares'],
       points: bytes,
     }),
-    // each account that changed copies the table of all accounts: a part grows with the square.
+    // each changed account copies the table of all accounts: this part grows quadratically.
     fitCostLine({
       name: 'ledger.sync',
       unit: 'CPU ms',
@@ -75,7 +75,7 @@
   ];
 }
 
-/** One pass of the page's owner in which every account has spent; read and written once. */
+/** One sync of the page's owner in which each account has new spend; one read and one write. */
 function sync(page: LedgerPage, state: JournalState, dataCentres: number): unknown {
   const read = JSON.parse(JSON.stringify(page)) as LedgerPage;
   const planned = planPage(read, declarationsOf(page), {
@@ -126,7 +126,7 @@
     { grantedIn: TOKENS, returnedOut: 0, spent, spentByClass: spentByClass(spent / 2) },
   ]);
   return {
-    ...createJournal(OWN),
+    ...createJournal(OWN_DATA_CENTRE),
     accounts: Object.fromEntries(entries) as JournalState['accounts'],
   };
 }
--- a/packages/lab/src/node/capacity/measureSlopes.ts
+++ b/packages/lab/src/node/capacity/measureSlopes.ts
@@ -1,4 +1,4 @@
-/** All measurements of one run, one after the other, so that none disturbs another. */
+/** Runs all measurements sequentially, so that they do not affect each other. */
 
 import type { CostLine, CostLines, Progress } from './types.js';
 import { measureFleets } from './fleetCosts.js';
@@ -7,7 +7,7 @@
 import { measureAccounts, measureCalls, measureRequests, measureStreams } from './routerCosts.js';
 import { measureDecisions } from './routingCosts.js';
 
-/** Measures every line that the model uses; takes some five minutes. */
+/** Measures all cost lines that the model uses; takes about five minutes. */
 export async function measureSlopes(seed: number, onProgress: Progress): Promise<CostLines> {
   onProgress('journal, pages, placement and queue in this process');
   const lines: CostLine[] = [
--- a/packages/lab/src/node/capacity/routerStage.ts
+++ b/packages/lab/src/node/capacity/routerDeployment.ts
@@ -1,4 +1,4 @@
-/** Real router processes before stand-ins, for the measurements of processor time and calls. */
+/** Real router processes with stand-ins, to measure processor time, memory and platform calls. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { LoadResult, Naming } from '../../types/load.js';
@@ -18,39 +18,39 @@
 const ENGINES = 4;
 const ENGINE_SLOTS = 2_000;
 const ROUTER_SERVICE = 'flamingocourse-router';
-/** More than the measurements need, so that the stand-in's rates do not shape the calls. */
+/** Above the needs of the measurements, so that the stand-in's rate limits have no effect. */
 const CALLS_PER_SECOND = 100_000;
-/** Accounts that the load calls for, as far as there are so many. */
+/** Maximum number of accounts that send requests. */
 const CALLING_ACCOUNTS = 10;
 
-/** What a stage consists of. */
-export interface StageOptions {
+/** Size of a deployment. */
+export interface DeploymentOptions {
   centres: number;
   routersPerCentre: number;
   accounts: number;
-  /** Milliseconds between two tokens of an engine. @default 2 */
+  /** Milliseconds between two tokens of an answer. @default 2 */
   decodeMs?: number;
 }
 
-/** A running stage. */
-export interface RouterStage {
+/** A running deployment. */
+export interface RouterDeployment {
   platform: PlatformStandIn;
   fleet: FleetRunner;
-  /** Usage of the first router. */
+  /** Reads the resource usage of the first router. */
   usage(): Promise<ProcessUsage>;
-  /** Calls that the platform has taken so far, by kind. */
+  /** Platform calls so far, by kind. */
   calls(): Record<string, number>;
   /** Tokens that all engines have written so far. */
   tokens(): number;
-  /** Shows this many servers in the instance list; several share an engine. */
+  /** Sets the number of servers in the instance list; several of them share an engine. */
   listServers(count: number): void;
-  /** Streams under an arrival rate, each of `words` tokens; resolves with the last answer. */
-  load(options: StageLoad): Promise<LoadResult>;
+  /** Runs a load of streams of `words` tokens; resolves when all have ended. */
+  load(options: DeploymentLoad): Promise<LoadResult>;
   stop(): Promise<void>;
 }
 
-/** A bounded load. */
-export interface StageLoad {
+/** Options of a load. */
+export interface DeploymentLoad {
   ratePerSecond: number;
   seconds: number;
   words: number;
@@ -59,8 +59,8 @@
   naming?: Naming;
 }
 
-/** Starts everything; what was started is stopped again when a part fails to start. */
-export async function startStage(options: StageOptions): Promise<RouterStage> {
+/** Starts all components; if one fails, stops those already started. */
+export async function startDeployment(options: DeploymentOptions): Promise<RouterDeployment> {
   const closers: (() => Promise<unknown>)[] = [];
   const stop = async (): Promise<void> => {
     for (const close of closers.reverse()) await close();
@@ -72,21 +72,21 @@
     closers.push(() => Promise.all(engines.map((engine) => engine.stop())));
     const fleet = await createFleet(options, platform, closers);
     await fleet.start();
-    return createStage(options, { platform, engines, fleet, stop });
+    return createDeployment(options, { platform, engines, fleet, stop });
   } catch (err) {
     await stop();
     throw err;
   }
 }
 
-interface StageParts {
+interface DeploymentParts {
   platform: PlatformStandIn;
   engines: EngineStandIn[];
   fleet: FleetRunner;
   stop: () => Promise<void>;
 }
 
-function createStage(options: StageOptions, parts: StageParts): RouterStage {
+function createDeployment(options: DeploymentOptions, parts: DeploymentParts): RouterDeployment {
   const { platform, engines, fleet, stop } = parts;
   return {
     platform,
@@ -98,11 +98,11 @@
     listServers: (count) => {
       listServers(options, platform, engines, count);
     },
-    load: (load) => runStageLoad(options, fleet, load),
+    load: (load) => runDeploymentLoad(options, fleet, load),
   };
 }
 
-async function startPlatform({ centres, accounts }: StageOptions): Promise<PlatformStandIn> {
+async function startPlatform({ centres, accounts }: DeploymentOptions): Promise<PlatformStandIn> {
   const listenPorts = Object.fromEntries(centreNames(centres).map((name) => [name, 0]));
   const platform = await createPlatformStandIn({
     listenPorts,
@@ -115,7 +115,7 @@
 }
 
 async function startEngines(
-  options: StageOptions,
+  options: DeploymentOptions,
   platform: PlatformStandIn,
 ): Promise<EngineStandIn[]> {
   const engines: EngineStandIn[] = [];
@@ -133,7 +133,7 @@
 }
 
 function listServers(
-  { centres }: StageOptions,
+  { centres }: DeploymentOptions,
   platform: PlatformStandIn,
   engines: EngineStandIn[],
   count: number,
@@ -152,7 +152,7 @@
 }
 
 async function createFleet(
-  options: StageOptions,
+  options: DeploymentOptions,
   platform: PlatformStandIn,
   closers: (() => Promise<unknown>)[],
 ): Promise<FleetRunner> {
@@ -176,15 +176,15 @@
   return fleet;
 }
 
-function runStageLoad(
-  { accounts }: StageOptions,
+function runDeploymentLoad(
+  { accounts }: DeploymentOptions,
   fleet: FleetRunner,
-  { words, naming = 'none', ...load }: StageLoad,
+  { words, naming = 'none', ...load }: DeploymentLoad,
 ): Promise<LoadResult> {
   return runLoad({
     ...load,
     targets: fleet.entryUrls.map((url) => ({ url, weight: 1 })),
-    // the name goes into the prompt, where it asks the stand-in for an answer of this length.
+    // the account name is part of the prompt, where it sets the length of the answer.
     accounts: Array.from({ length: Math.min(accounts, CALLING_ACCOUNTS) }, (_, i) => ({
       name: `words=${words}`,
       apiKey: accountKey(i),
--- a/packages/lab/src/node/capacity/routingCosts.ts
+++ b/packages/lab/src/node/capacity/routingCosts.ts
@@ -1,4 +1,4 @@
-/** Processor time of a placement and of the admission queue, by the real decisions. */
+/** Measures the processor time of a placement and of the admission queue with the real code. */
 
 import type { BackendServer, QueueEntry } from '@flamingocourse/core';
 import type { CostLine, CostPoint } from './types.js';
@@ -20,7 +20,7 @@
 const DEADLINE_MS = 60_000;
 const IMPORTANCES = ['first', 'standard', 'background'] as const;
 
-/** Measures both. */
+/** Measures placements and queue steps. */
 export function measureDecisions(seed: number): CostLine[] {
   const placements = POOL_SIZES.map((servers): CostPoint => {
     return { at: { servers }, cost: measurePlacement(servers, seed) };
@@ -44,7 +44,7 @@
   ];
 }
 
-/** One request: a look for room, the choice, the dispatch and its end. */
+/** Work for one request: check for capacity, choice of a server, dispatch and completion. */
 function measurePlacement(count: number, seed: number): number {
   const pool = new ServerPool({ dataCentre: 'dc-0', concurrencyPerServer: PLACES_PER_SERVER });
   const servers = Array.from({ length: count }, (_, i) => createServer(i));
@@ -61,7 +61,7 @@
   });
 }
 
-/** One request comes and one goes, while `length` wait. */
+/** One request enters the queue and one leaves it, while `length` requests wait. */
 function measureQueueStep(length: number): number {
   const queue = new AdmissionQueue({ maxSize: length * 2 });
   let next = 0;
--- a/packages/lab/src/node/capacity/targetSize.ts
+++ b/packages/lab/src/node/capacity/targetSize.ts
@@ -1,6 +1,6 @@
-/** The size that the users expect to run at, and what follows from it. */
+/** Fleet sizes of the capacity model, and values derived from them. */
 
-/** A fleet's size, as far as costs depend on it. */
+/** Size of a fleet and its load, as far as costs depend on them. */
 export interface FleetSize {
   nodes: number;
   dataCentres: number;
@@ -11,13 +11,13 @@
   accounts: number;
   services: number;
   changesPerDay: number;
-  /** Instances that fail, are restarted or replaced. */
+  /** Instances that fail, restart or are replaced. */
   restartsPerDay: number;
-  /** Time between two tokens of a stream. */
+  /** Milliseconds between two tokens of a stream. */
   tokenGapMs: number;
 }
 
-/** Within two years. */
+/** Size that the users expect within two years. */
 export const targetSize: FleetSize = {
   nodes: 2_800,
   dataCentres: 22,
@@ -32,7 +32,7 @@
   tokenGapMs: 32,
 };
 
-/** The larger of today's deployments, under the load of the demo; the users gave no rates. */
+/** The larger of today's deployments, with the load of the demo, as its real load is unknown. */
 export const todaySize: FleetSize = {
   nodes: 8,
   dataCentres: 4,
@@ -47,13 +47,13 @@
   tokenGapMs: 32,
 };
 
-/** What control may cost each node. */
+/** Limits of the cost of control traffic per node. */
 export const controlBudget = { coreMsPerSecond: 26, bytes: 64_000_000, bytesPerSecond: 2_000 };
 
-/** What the platform handles. */
+/** Limits of the platform. */
 export const platformLimits = {
   readsPerSecond: 2_000,
-  /** "Several hundred". */
+  /** The requirement says "several hundred". */
   writesPerSecond: 400,
   valueBytes: 1_000_000,
 };
@@ -61,13 +61,13 @@
 const SECONDS_PER_DAY = 86_400;
 const MS_PER_SECOND = 1_000;
 
-/** Parts of a size that one node or data centre has. */
+/** Values per node, per data centre and per second. */
 export interface SizeShares {
   nodesPerCentre: number;
   serversPerCentre: number;
   requestsPerNode: number;
   tokensPerNode: number;
-  /** Answers under way at one node. */
+  /** Concurrent answers at one node. */
   streamsPerNode: number;
   requestsPerCentre: number;
   changesPerSecond: number;
@@ -75,7 +75,7 @@
 }
 
 /**
- * Spreads a size evenly over its nodes and data centres.
+ * Divides a size evenly among its nodes and data centres.
  *
  * @example
  * sharesOf(targetSize).nodesPerCentre; // 127.3
--- a/packages/lab/src/node/capacity/trafficMeter.ts
+++ b/packages/lab/src/node/capacity/trafficMeter.ts
@@ -1,18 +1,18 @@
-/** Counts the bytes of all connections that listeners of this process accept. */
+/** Counts the bytes of all connections that the listeners of this process accept. */
 
 import type { Socket } from 'node:net';
 import { subscribe, unsubscribe } from 'node:diagnostics_channel';
 
 const ACCEPTED = 'net.server.socket';
 
-/** Bytes of accepted connections, both ways, without the headers of TCP and IP. */
+/** Counts bytes of accepted connections in both directions, without TCP and IP headers. */
 export class TrafficMeter {
   readonly #sockets = new Set<Socket>();
   readonly #onAccepted = (message: unknown): void => {
     this.#sockets.add((message as { socket: Socket }).socket);
   };
 
-  /** Begins to count connections that are accepted from now on. */
+  /** Starts to count connections that are accepted from now on. */
   start(): void {
     subscribe(ACCEPTED, this.#onAccepted);
   }
--- a/packages/lab/src/node/capacity/types.ts
+++ b/packages/lab/src/node/capacity/types.ts
@@ -1,24 +1,24 @@
-/** Measured points and the slopes that are drawn through them. */
+/** Measured points and the cost lines that are fitted to them. */
 
-/** One run: the values that were varied, and what it cost. */
+/** One measurement: the values of the drivers and the cost. */
 export interface CostPoint {
-  /** Varied values, by the names that {@link CostLine.drivers} lists. */
+  /** Values by driver name; see {@link CostLine.drivers}. */
   at: Record<string, number>;
   cost: number;
 }
 
-/** A cost as a sum of one part for each driver and a fixed part. */
+/** A cost as a linear function of its drivers. */
 export interface CostLine {
-  /** Unique name, by which the model finds it. */
+  /** Unique name, used by the model to look up the line. */
   name: string;
   unit: string;
   drivers: string[];
   points: CostPoint[];
-  /** Cost of one more of each driver. */
+  /** Cost per unit of each driver. */
   slopes: Record<string, number>;
-  /** Cost at zero of all drivers. */
+  /** Cost when all drivers are zero. */
   fixed: number;
-  /** Part of the variation that the line explains, from 0 to 1. */
+  /** Coefficient of determination (R²) of the fit. */
   fit: number;
   /** Largest measured value of each driver. */
   measuredTo: Record<string, number>;
@@ -27,5 +27,5 @@
 /** All lines of one run, by name. */
 export type CostLines = ReadonlyMap<string, CostLine>;
 
-/** Tells the person at the terminal how far a run is. */
+/** Reports the progress of a run to the terminal. */
 export type Progress = (line: string) => void;
