--- a/packages/lab/src/node/budgetMeasure/auditWorld.ts
+++ b/packages/lab/src/node/budgetMeasure/auditSimulation.ts
@@ -1,54 +1,58 @@
-/** Checks after a run: no overspend, and each kept bill in the record exactly once. */
+/** Audits the store after a run: no overspend, and each acknowledged bill is stored exactly once. */
 
 import type { BillSegment, Bill, JournalState, LedgerPage } from '@flamingocourse/core';
-import type { BudgetWorld } from './budgetWorld.js';
+import type { BudgetSimulation } from './budgetSimulation.js';
 import type { RequestRecord } from '../../runtime/budgetMeasure/requestPlan.js';
 import { checkInvariant, checkLedgerInvariant } from '@flamingocourse/core';
 
-/** What the record says of a run. */
+/** Result of the audit of a run. */
 export interface MoneyAudit {
-  /** Tokens spent beyond the limits, over all accounts. */
+  /** Tokens spent above the limits, summed over all accounts. */
   overspend: number;
-  /** Bills said to be kept and not in the record. */
+  /** Bills that were acknowledged as stored but are missing in the journals. */
   lostBills: number;
-  /** Bills that are in the record more than once. */
+  /** Duplicates among the stored bills. */
   doubledBills: number;
-  /** Other faults, as sentences. */
+  /** Descriptions of other faults. */
   faults: string[];
 }
 
 /** Audits the store of a run whose routers have stopped. */
-export function auditWorld(world: BudgetWorld, records: readonly RequestRecord[]): MoneyAudit {
-  const journals = journalsOf(world);
-  const bills = journals.flatMap((journal) => billsOf(world, journal));
+export function auditSimulation(
+  simulation: BudgetSimulation,
+  records: readonly RequestRecord[],
+): MoneyAudit {
+  const journals = journalsOf(simulation);
+  const bills = journals.flatMap((journal) => billsOf(simulation, journal));
   const ids = bills.map((bill) => `${bill.holder}#${bill.ticket}`);
   const known = new Set(ids);
-  const kept = records.filter(
+  const acknowledged = records.filter(
     ({ billId, outcome }) => billId !== undefined && outcome === 'served',
   );
   return {
-    overspend: overspendOf(ledgerOf(world), bills),
-    lostBills: kept.filter(({ billId }) => billId !== undefined && !known.has(billId)).length,
+    overspend: overspendOf(ledgerOf(simulation), bills),
+    lostBills: acknowledged.filter(({ billId }) => billId !== undefined && !known.has(billId))
+      .length,
     doubledBills: ids.length - known.size,
-    faults: [...invariantFaults(world, journals), ...sumFaults(journals, bills)],
+    faults: [...findInvariantFaults(simulation, journals), ...findSumFaults(journals, bills)],
   };
 }
 
-/** Journals of all data centres of the run. */
-export function journalsOf(world: BudgetWorld): JournalState[] {
-  const names = new Set(world.all().map((info) => info.dataCentre));
-  return [...names].map((name) => world.store.peek('journals', name) as JournalState);
+/** Returns the journals of all data centres. */
+export function journalsOf(simulation: BudgetSimulation): JournalState[] {
+  const names = new Set(simulation.all().map((info) => info.dataCentre));
+  return [...names].map((name) => simulation.store.peek('journals', name) as JournalState);
 }
 
-/** The ledger page of the run. */
-export function ledgerOf(world: BudgetWorld): LedgerPage {
-  return world.store.peek('ledgers', '0') as LedgerPage;
+/** Returns the ledger page. */
+export function ledgerOf(simulation: BudgetSimulation): LedgerPage {
+  return simulation.store.peek('ledgers', '0') as LedgerPage;
 }
 
-function billsOf(world: BudgetWorld, journal: JournalState): Bill[] {
+function billsOf(simulation: BudgetSimulation, journal: JournalState): Bill[] {
   const bills = [...journal.bills];
   for (let number = 0; number < journal.segment; number += 1) {
-    const segment = world.store.peek('segments', `${journal.dataCentre}-${number}`);
+    const segment = simulation.store.peek('segments', `${journal.dataCentre}-${number}`);
     bills.push(...(segment as BillSegment).bills);
   }
   return bills;
@@ -64,19 +68,19 @@
   return overspend;
 }
 
-function invariantFaults(world: BudgetWorld, journals: JournalState[]): string[] {
+function findInvariantFaults(simulation: BudgetSimulation, journals: JournalState[]): string[] {
   const faults = journals
     .filter((journal) => checkInvariant(journal) !== undefined)
     .map((journal) => `the journal of ${journal.dataCentre} breaks its invariant.`);
-  const account = checkLedgerInvariant(ledgerOf(world));
+  const account = checkLedgerInvariant(ledgerOf(simulation));
   if (account !== undefined) faults.push(`the ledger grants more than the limit of ${account}.`);
-  for (const { failures, fleet } of world.routers) {
+  for (const { failures, fleet } of simulation.routers) {
     for (const err of failures) faults.push(`${fleet.self.instance} reports: ${String(err)}`);
   }
   return faults;
 }
 
-function sumFaults(journals: JournalState[], bills: Bill[]): string[] {
+function findSumFaults(journals: JournalState[], bills: Bill[]): string[] {
   const billed = bills.reduce((sum, bill) => sum + bill.cost, 0);
   let spent = 0;
   for (const { accounts } of journals) {
--- a/packages/lab/src/node/budgetMeasure/budgetReport.ts
+++ b/packages/lab/src/node/budgetMeasure/budgetReport.ts
@@ -1,4 +1,4 @@
-/** Report of the budget measurement. */
+/** Creates the report of the budget measurement. */
 
 import type { ReportDocument, ReportTable } from '../../types/report.js';
 import type { ScenarioOptions, ScenarioResult } from './scenarioTypes.js';
@@ -7,17 +7,17 @@
 const PER_THOUSAND = 1_000;
 const PERCENT = 100;
 
-/** Faults that make the measurement fail, as sentences. */
+/** Describes the faults because of which the measurement fails. */
 export function violationsOf({ name, audit }: ScenarioResult): string[] {
   const { overspend, lostBills, doubledBills, faults } = audit;
   const found = faults.map((fault) => `${name}: ${fault}`);
-  if (overspend > 0) found.push(`${name}: ${overspend} tokens were spent beyond a limit.`);
-  if (lostBills > 0) found.push(`${name}: ${lostBills} kept bills are not in the record.`);
-  if (doubledBills > 0) found.push(`${name}: ${doubledBills} bills are in the record twice.`);
+  if (overspend > 0) found.push(`${name}: ${overspend} tokens were spent above a limit.`);
+  if (lostBills > 0) found.push(`${name}: ${lostBills} acknowledged bills are not stored.`);
+  if (doubledBills > 0) found.push(`${name}: ${doubledBills} stored bills are duplicates.`);
   return found;
 }
 
-/** The figures as tables. */
+/** Creates the report document with one table per topic. */
 export function createBudgetReport(
   results: readonly ScenarioResult[],
   options: ScenarioOptions,
--- a/packages/lab/src/node/budgetMeasure/budgetWorld.ts
+++ b/packages/lab/src/node/budgetMeasure/budgetSimulation.ts
@@ -1,4 +1,4 @@
-/** Routers with their real budget services in one process, on a store and a network in memory. */
+/** Routers with real budget services in one process, with an in-memory store and network. */
 
 import type {
   AccountId,
@@ -20,63 +20,63 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { Result } from 'true-myth';
 import { CountingStore } from './countingStore.js';
-import { MeasuredConfiguration, MeasuredFleet } from './measuredFleet.js';
+import { InMemoryConfiguration, InMemoryFleet } from './inMemoryFleet.js';
 
-/** Size and faults of a world. */
-export interface WorldOptions {
+/** Size, budgets and store latency of the simulated fleet. */
+export interface SimulationOptions {
   dataCentres: number;
   routersPerDataCentre: number;
   budgets: ReadonlyMap<AccountId, Tokens>;
   policy: DeploymentDeclaration['policy'];
   rideThroughSeconds: number;
-  /** Time of one platform call, in milliseconds. */
+  /** Latency of one platform call, in milliseconds. */
   storeLatencyMs: number;
 }
 
-/** Time of one question to a peer, there and back, in milliseconds. */
+/** Round-trip time of one call to a peer, in milliseconds. */
 const PEER_LATENCY_MS = 1;
 
-/** Time after which a call into a cut is given up, in milliseconds. */
-const CUT_TIMEOUT_MS = 100;
+/** Timeout of a call across a partition, in milliseconds. */
+const PARTITION_TIMEOUT_MS = 100;
 
-/** Longest wait for all routers to be ready, in milliseconds. */
+/** Time limit for all routers to be ready, in milliseconds. */
 const READY_TIMEOUT_MS = 10_000;
 
 const POLL_MS = 5;
 
-/** One router of the run. */
-export class MeasuredRouter {
+/** One router of the fleet. */
+export class SimulatedRouter {
   readonly kernel = new Kernel();
-  readonly fleet: MeasuredFleet;
+  readonly fleet: InMemoryFleet;
   readonly money: MoneyService;
   readonly failures: unknown[] = [];
-  /** When it was killed, if it was. */
+  /** Time at which the router was killed; `undefined` if it was not. */
   killedAt: EpochMs | undefined;
 
-  constructor(world: BudgetWorld, info: MemberInfo) {
-    this.fleet = new MeasuredFleet(world, info);
+  constructor(simulation: BudgetSimulation, info: MemberInfo) {
+    this.fleet = new InMemoryFleet(simulation, info);
     const context = {
       settings: settingsOf(info),
       clock: new SystemClock(),
       log: new MemoryEventLog(),
       metrics: new NoMetrics(),
     };
-    const store = new ReachedStore(world, this);
-    const peers = new ReachedPeers(world, this);
+    const store = new RouterStore(simulation, this);
+    const peers = new RouterPeers(simulation, this);
     this.money = new MoneyService({ context, store, peers });
     this.kernel.onFailure((err) => this.failures.push(err));
-    this.kernel.register(this.fleet).register(world.configuration).register(this.money);
+    this.kernel.register(this.fleet).register(simulation.configuration).register(this.money);
   }
 }
 
-/** All routers of a run and their platform. */
-export class BudgetWorld {
+/** All routers of a run, and their platform and network. */
+export class BudgetSimulation {
   readonly store: CountingStore;
-  readonly routers: MeasuredRouter[] = [];
-  readonly configuration: MeasuredConfiguration;
+  readonly routers: SimulatedRouter[] = [];
+  readonly configuration: InMemoryConfiguration;
   readonly #cuts = new Map<string, EpochMs>();
 
-  constructor(options: WorldOptions) {
+  constructor(options: SimulationOptions) {
     const { policy, rideThroughSeconds, budgets } = options;
     this.store = new CountingStore(options.storeLatencyMs);
     const deployment = {
@@ -85,11 +85,11 @@
       policy,
       rideThroughSeconds,
     } as const;
-    this.configuration = new MeasuredConfiguration(budgets, deployment);
+    this.configuration = new InMemoryConfiguration(budgets, deployment);
     for (let place = 0; place < options.routersPerDataCentre; place += 1) {
       for (let index = 0; index < options.dataCentres; index += 1) {
         const instance = `router-${this.routers.length + 1}`;
-        this.routers.push(new MeasuredRouter(this, memberOf(instance, `dc-${index + 1}`)));
+        this.routers.push(new SimulatedRouter(this, memberOf(instance, `dc-${index + 1}`)));
       }
     }
   }
@@ -100,23 +100,23 @@
     const end = Date.now() + READY_TIMEOUT_MS;
     while (!this.routers.every((router) => router.money.ready)) {
       if (Date.now() > end)
-        throw new Error('not all routers became ready; run fewer things at once.');
+        throw new Error('not all routers became ready in time; the machine may be overloaded.');
       await delay(POLL_MS);
     }
   }
 
-  /** Ends all cuts and stops all routers; one that was killed stops without reaching anything. */
+  /** Ends all partitions and stops all routers; killed routers stay unreachable. */
   async stop(): Promise<void> {
     this.#cuts.clear();
     await Promise.all(this.routers.map((router) => router.kernel.stop()));
   }
 
-  /** Cuts a data centre off from the platform and from all others. */
+  /** Partitions a data centre from the platform and from all other data centres. */
   cut(dataCentre: string): void {
     this.#cuts.set(dataCentre, Date.now());
   }
 
-  /** Ends the cut of a data centre. */
+  /** Ends the partition of a data centre. */
   heal(dataCentre: string): void {
     this.#cuts.delete(dataCentre);
   }
@@ -125,13 +125,13 @@
     return this.routers.map((router) => router.fleet.self);
   }
 
-  /** Whether a router reaches the platform. */
-  reachesPlatform(router: MeasuredRouter): boolean {
+  /** Returns whether a router can reach the platform. */
+  canReachPlatform(router: SimulatedRouter): boolean {
     return router.killedAt === undefined && !this.#cuts.has(router.fleet.self.dataCentre);
   }
 
-  /** Since when two routers cannot talk; `undefined` when they can. */
-  partedSince(from: MemberInfo, to: MemberInfo): EpochMs | undefined {
+  /** Returns since when two routers cannot reach each other; `undefined` if they can. */
+  unreachableSince(from: MemberInfo, to: MemberInfo): EpochMs | undefined {
     const killed = this.routers
       .filter(({ fleet }) => [from.instance, to.instance].includes(fleet.self.instance))
       .map((router) => router.killedAt);
@@ -142,7 +142,7 @@
   }
 
   healthOf(from: MemberInfo, to: MemberInfo): Peer['health'] {
-    const since = this.partedSince(from, to);
+    const since = this.unreachableSince(from, to);
     if (since === undefined) return 'alive';
     const { suspectMs, goneMs } = settingsDefaults.mesh;
     const missing = Date.now() - since;
@@ -151,78 +151,80 @@
   }
 }
 
-/** The platform as one router reaches it. */
-class ReachedStore implements ObjectStore {
-  readonly #world: BudgetWorld;
-  readonly #router: MeasuredRouter;
+/** Object store of one router: the shared store, unless the router cannot reach it. */
+class RouterStore implements ObjectStore {
+  readonly #simulation: BudgetSimulation;
+  readonly #router: SimulatedRouter;
 
-  constructor(world: BudgetWorld, router: MeasuredRouter) {
-    this.#world = world;
+  constructor(simulation: BudgetSimulation, router: SimulatedRouter) {
+    this.#simulation = simulation;
     this.#router = router;
   }
 
-  get: ObjectStore['get'] = (...args) => this.#reach((store) => store.get(...args));
-  list: ObjectStore['list'] = (...args) => this.#reach((store) => store.list(...args));
-  create: ObjectStore['create'] = (...args) => this.#reach((store) => store.create(...args));
-  update: ObjectStore['update'] = (...args) => this.#reach((store) => store.update(...args));
+  get: ObjectStore['get'] = (...args) => this.#call((store) => store.get(...args));
+  list: ObjectStore['list'] = (...args) => this.#call((store) => store.list(...args));
+  create: ObjectStore['create'] = (...args) => this.#call((store) => store.create(...args));
+  update: ObjectStore['update'] = (...args) => this.#call((store) => store.update(...args));
 
-  async #reach<T>(
-    ask: (store: CountingStore) => Promise<Result<T, StoreError>>,
+  async #call<T>(
+    call: (store: CountingStore) => Promise<Result<T, StoreError>>,
   ): Promise<Result<T, StoreError>> {
-    if (!this.#world.reachesPlatform(this.#router)) {
-      await lateAnswer();
+    if (!this.#simulation.canReachPlatform(this.#router)) {
+      await waitForTimeout();
       return unreachable();
     }
-    const answer = await ask(this.#world.store);
-    // a reply that a cut overtakes is lost, though the call took effect.
-    return this.#world.reachesPlatform(this.#router) ? answer : unreachable();
+    const answer = await call(this.#simulation.store);
+    // if a partition starts during the call, the reply is lost although the call took effect.
+    return this.#simulation.canReachPlatform(this.#router) ? answer : unreachable();
   }
 }
 
-/** The other routers as one router reaches them. */
-class ReachedPeers implements MoneyPeers {
-  readonly #world: BudgetWorld;
-  readonly #router: MeasuredRouter;
+/** Calls of one router to the others, with latency and partitions. */
+class RouterPeers implements MoneyPeers {
+  readonly #simulation: BudgetSimulation;
+  readonly #router: SimulatedRouter;
 
-  constructor(world: BudgetWorld, router: MeasuredRouter) {
-    this.#world = world;
+  constructor(simulation: BudgetSimulation, router: SimulatedRouter) {
+    this.#simulation = simulation;
     this.#router = router;
   }
 
   appendLines: MoneyPeers['appendLines'] = (peer, lines) =>
-    this.#ask(peer, (money) => money.handleAppendLines(lines));
+    this.#call(peer, (money) => money.handleAppendLines(lines));
   keepLines: MoneyPeers['keepLines'] = (peer, lines) =>
-    this.#ask(peer, (money) => Promise.resolve(money.handleKeepLines(lines)));
+    this.#call(peer, (money) => Promise.resolve(money.handleKeepLines(lines)));
   fenceHolder: MoneyPeers['fenceHolder'] = (peer, holder) =>
-    this.#ask(peer, (money) => Promise.resolve(money.handleFenceHolder(holder)));
+    this.#call(peer, (money) => Promise.resolve(money.handleFenceHolder(holder)));
   recall: MoneyPeers['recall'] = (peer, account, amount, dataCentre) =>
-    this.#ask(peer, (money) => money.handleRecall(account, amount, dataCentre));
+    this.#call(peer, (money) => money.handleRecall(account, amount, dataCentre));
 
-  async #ask<T>(
+  async #call<T>(
     peer: string,
-    ask: (money: MoneyService) => Promise<Result<T, PeerFault>>,
+    call: (money: MoneyService) => Promise<Result<T, PeerFault>>,
   ): Promise<Result<T, PeerFault>> {
     await delay(PEER_LATENCY_MS);
-    const target = this.#world.routers.find(({ fleet }) => fleet.self.incarnation === peer);
-    if (!target || this.#isParted(target)) {
-      await lateAnswer();
+    const target = this.#simulation.routers.find(({ fleet }) => fleet.self.incarnation === peer);
+    if (!target || this.#isUnreachable(target)) {
+      await waitForTimeout();
       return Result.err('unreachable');
     }
-    const answer = await ask(target.money);
-    return this.#isParted(target) ? Result.err('unreachable') : answer;
+    const answer = await call(target.money);
+    return this.#isUnreachable(target) ? Result.err('unreachable') : answer;
   }
 
-  #isParted(target: MeasuredRouter): boolean {
-    return this.#world.partedSince(this.#router.fleet.self, target.fleet.self) !== undefined;
+  #isUnreachable(target: SimulatedRouter): boolean {
+    return (
+      this.#simulation.unreachableSince(this.#router.fleet.self, target.fleet.self) !== undefined
+    );
   }
 }
 
-async function lateAnswer(): Promise<void> {
-  await delay(CUT_TIMEOUT_MS);
+async function waitForTimeout(): Promise<void> {
+  await delay(PARTITION_TIMEOUT_MS);
 }
 
 function unreachable(): Result<never, StoreError> {
-  return Result.err({ code: 'unreachable', message: 'the router is cut off.' });
+  return Result.err({ code: 'unreachable', message: 'the router is partitioned from the store.' });
 }
 
 function memberOf(instance: string, dataCentre: string): MemberInfo {
@@ -238,7 +240,7 @@
   };
 }
 
-/** The defaults that routers are shipped with. */
+/** Default settings of a router. */
 function settingsOf({ instance, dataCentre }: MemberInfo): RouterSettings {
   const { entry, mesh, platform, budget, routing, logLevel, stopTimeoutMs } = settingsDefaults;
   return {
--- a/packages/lab/src/node/budgetMeasure/countingStore.ts
+++ b/packages/lab/src/node/budgetMeasure/countingStore.ts
@@ -1,17 +1,17 @@
-/** Object store in memory that takes a set time for each call and counts calls by kind. */
+/** In-memory object store with a fixed latency that counts calls by kind. */
 
 import type { ObjectStore, StoreError, StoredObject } from '@flamingocourse/router';
 import { setTimeout as delay } from 'node:timers/promises';
 import { Result } from 'true-myth';
 
-/** Calls by kind and collection, such as `update journals`. */
+/** Number of calls by kind and collection, such as `update journals`. */
 export type CallCounts = Map<string, number>;
 
 type StoreResult = Result<StoredObject, StoreError>;
 
 /**
- * Store of one run. Values are kept by reference: the reducers never change a state in place, and
- * copies would measure the stand-in.
+ * Store of one run. Values are stored by reference: the reducers never modify a state in place, and
+ * the cost of copies would distort the measurement.
  */
 export class CountingStore implements ObjectStore {
   readonly calls: CallCounts = new Map();
@@ -23,7 +23,7 @@
     this.#latencyMs = latencyMs;
   }
 
-  /** Value of an object as stored now, not counted as a call. */
+  /** Returns the current value of an object without counting a call. */
   peek(collection: string, name: string): unknown {
     return this.#objects.get(keyOf(collection, name))?.value;
   }
@@ -78,5 +78,5 @@
 }
 
 function fail(code: StoreError['code']): Result<never, StoreError> {
-  return Result.err({ code, message: `the store answers ${code}.` });
+  return Result.err({ code, message: `store error: ${code}` });
 }
--- a/packages/lab/src/node/budgetMeasure/driveRequests.ts
+++ b/packages/lab/src/node/budgetMeasure/driveRequests.ts
@@ -1,6 +1,6 @@
-/** Sends planned requests through the budget services of the routers, as the request path does. */
+/** Runs planned requests through the budget services, with the calls that the request path makes. */
 
-import type { BudgetWorld, MeasuredRouter } from './budgetWorld.js';
+import type { BudgetSimulation, SimulatedRouter } from './budgetSimulation.js';
 import type { BudgetRequest, RequestRecord } from '../../runtime/budgetMeasure/requestPlan.js';
 import { performance } from 'node:perf_hooks';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -8,15 +8,15 @@
 /** Deadline of a request, in milliseconds. */
 const DEADLINE_MS = 5_000;
 
-/** What the router is told of each request beside its account and amount. */
+/** Values of a reservation that are the same for all requests. */
 const CLASS = { workClass: 'drafts', importance: 'first', budgetShare: 1 } as const;
 
 /**
- * Sends every request at its time and resolves when all have ended. Callers of a killed router go
- * to the next one, as behind a balancer; a request in progress at the kill ends as `killed`.
+ * Starts each request at its time and resolves when all have ended. As behind a load balancer, new
+ * requests for a killed router go to the next one; requests in flight at the kill end as `killed`.
  */
 export async function driveRequests(
-  world: BudgetWorld,
+  simulation: BudgetSimulation,
   plan: readonly BudgetRequest[],
 ): Promise<RequestRecord[]> {
   const start = performance.now();
@@ -24,25 +24,28 @@
   for (const request of plan) {
     const wait = request.atMs - (performance.now() - start);
     if (wait > 0) await delay(wait);
-    running.push(sendOne(world, request));
+    running.push(runRequest(simulation, request));
   }
   return Promise.all(running);
 }
 
-async function sendOne(world: BudgetWorld, request: BudgetRequest): Promise<RequestRecord> {
-  const router = liveRouter(world, request.router);
+async function runRequest(
+  simulation: BudgetSimulation,
+  request: BudgetRequest,
+): Promise<RequestRecord> {
+  const router = liveRouter(simulation, request.router);
   const arrivedAt = Date.now();
   const { account, worst: amount } = request;
-  const begun = performance.now();
-  const asked = { account, amount, ...CLASS, deadline: arrivedAt + DEADLINE_MS };
-  const reserved = await router.money.reserve(asked);
-  const record = { ...request, arrivedAt, reserveMs: performance.now() - begun };
-  if (reserved.isErr) return { ...record, outcome: endOf(router, reserved.error.reason) };
+  const reserveStartedAt = performance.now();
+  const reservation = { account, amount, ...CLASS, deadline: arrivedAt + DEADLINE_MS };
+  const reserved = await router.money.reserve(reservation);
+  const record = { ...request, arrivedAt, reserveMs: performance.now() - reserveStartedAt };
+  if (reserved.isErr) return { ...record, outcome: outcomeOf(router, reserved.error.reason) };
   await delay(request.durationMs);
-  // a process that was killed sends nothing more.
+  // a killed process cannot bill the request.
   if (router.killedAt !== undefined) return { ...record, outcome: 'killed' };
   const ticket = router.money.nextTicket();
-  const billBegun = performance.now();
+  const billStartedAt = performance.now();
   const use = {
     service: 'llm',
     cost: request.cost,
@@ -50,20 +53,20 @@
     completionTokens: 0,
   };
   const billed = await router.money.bill(reserved.value, ticket, use);
-  const billMs = performance.now() - billBegun;
-  if (billed.isErr) return { ...record, outcome: endOf(router, billed.error.reason), billMs };
+  const billMs = performance.now() - billStartedAt;
+  if (billed.isErr) return { ...record, outcome: outcomeOf(router, billed.error.reason), billMs };
   const billId = `${ticket.issuer}#${ticket.number}`;
-  return { ...record, outcome: endOf(router, 'served'), billMs, billId };
+  return { ...record, outcome: outcomeOf(router, 'served'), billMs, billId };
 }
 
-function liveRouter({ routers }: BudgetWorld, index: number): MeasuredRouter {
+function liveRouter({ routers }: BudgetSimulation, index: number): SimulatedRouter {
   for (let step = 0; step < routers.length; step += 1) {
     const router = routers[(index + step) % routers.length];
     if (router && router.killedAt === undefined) return router;
   }
-  throw new Error('every router of the run was killed.');
+  throw new Error('all routers were killed');
 }
 
-function endOf(router: MeasuredRouter, outcome: string): string {
+function outcomeOf(router: SimulatedRouter, outcome: string): string {
   return router.killedAt === undefined ? outcome : 'killed';
 }
--- a/packages/lab/src/node/budgetMeasure/measuredFleet.ts
+++ b/packages/lab/src/node/budgetMeasure/inMemoryFleet.ts
@@ -1,4 +1,4 @@
-/** Membership and configuration in memory for the budget measurement. */
+/** In-memory membership and configuration of the budget measurement. */
 
 import type {
   ClientAccountDeclaration,
@@ -9,17 +9,17 @@
 import { pageOf } from '@flamingocourse/core';
 import { Configuration, Fleet } from '@flamingocourse/router';
 
-/** What a fleet asks about the routers of the run. */
+/** Routers of the run, and how they see each other. */
 export interface Members {
   all(): MemberInfo[];
-  /** How one router judges another. */
+  /** Returns the health of one router as another sees it. */
   healthOf(from: MemberInfo, to: MemberInfo): Peer['health'];
 }
 
 const HASH_RANGE = 2 ** 31;
 
-/** Fleet of one router; reads the run's state instead of sending heartbeats. */
-export class MeasuredFleet extends Fleet {
+/** Membership of one router; reads the state of the run instead of sending heartbeats. */
+export class InMemoryFleet extends Fleet {
   readonly #members: Members;
   #self: MemberInfo;
 
@@ -39,8 +39,8 @@
     return this.#self;
   }
   override renewIncarnation(): string {
-    const [place, instance, life] = this.#self.incarnation.split('/');
-    const incarnation = `${place}/${instance}/${Number(life) + 1}`;
+    const [dataCentre, instance, startNumber] = this.#self.incarnation.split('/');
+    const incarnation = `${dataCentre}/${instance}/${Number(startNumber) + 1}`;
     this.#self = { ...this.#self, incarnation };
     return incarnation;
   }
@@ -66,9 +66,9 @@
     return this.peers().find((peer) => peer.info.incarnation === incarnation);
   }
   override localOwner(key: string): MemberInfo {
-    const weigh = (info: MemberInfo): number => pageOf(`${info.instance}|${key}`, HASH_RANGE);
+    const hash = (info: MemberInfo): number => pageOf(`${info.instance}|${key}`, HASH_RANGE);
     let owner = this.#self;
-    for (const { info } of this.localPeers()) if (weigh(info) > weigh(owner)) owner = info;
+    for (const { info } of this.localPeers()) if (hash(info) > hash(owner)) owner = info;
     return owner;
   }
   override onHealthChange(): () => void {
@@ -76,8 +76,8 @@
   }
 }
 
-/** Accounts and deployment of the run, declared from the start. */
-export class MeasuredConfiguration extends Configuration {
+/** Fixed configuration of the run: accounts and deployment. */
+export class InMemoryConfiguration extends Configuration {
   override readonly revision = 1;
   override readonly deployment: DeploymentDeclaration;
   readonly #accounts: ClientAccountDeclaration[];
--- a/packages/lab/src/node/budgetMeasure/measureBudget.ts
+++ b/packages/lab/src/node/budgetMeasure/measureBudget.ts
@@ -1,4 +1,4 @@
-/** The measurement `npm run measure -- budget`. */
+/** Measurement `budget`, run by `npm run measure -- budget`. */
 
 import type { ReportDocument } from '../../types/report.js';
 import type { ScenarioOptions, ScenarioResult } from './scenarioTypes.js';
@@ -12,16 +12,16 @@
   onProgress: (line: string) => void;
 }
 
-/** What the measurement gives. */
+/** Result of the measurement. */
 export interface BudgetMeasureResult {
   report: ReportDocument;
   results: ScenarioResult[];
-  /** Overspend, lost or doubled bills, as sentences; the measurement failed if there are any. */
+  /** Descriptions of overspend, lost or duplicate bills and other faults; empty on success. */
   violations: string[];
 }
 
 /**
- * Runs the scenarios one after the other.
+ * Runs the scenarios one after another. Throws `RangeError` if `only` is not a scenario.
  *
  * @example
  * await measureBudget({ seed: 1, seconds: 20, onProgress: console.error });
@@ -30,7 +30,7 @@
   const { only, onProgress, ...common } = options;
   const names = Object.keys(scenarios);
   if (only !== undefined && !names.includes(only)) {
-    throw new RangeError(`use one of ${names.join(', ')} instead of "${only}".`);
+    throw new RangeError(`unknown scenario "${only}"; use one of ${names.join(', ')}`);
   }
   const results: ScenarioResult[] = [];
   for (const [name, run] of Object.entries(scenarios)) {
--- a/packages/lab/src/node/budgetMeasure/scenarioTypes.ts
+++ b/packages/lab/src/node/budgetMeasure/scenarioTypes.ts
@@ -1,22 +1,22 @@
-/** What scenarios of the budget measurement are given and give back. */
+/** Options and results of the scenarios of the budget measurement. */
 
 import type { FalseRefusals, OracleType } from '../../runtime/budgetMeasure/oracle.js';
 import type { RequestRecord } from '../../runtime/budgetMeasure/requestPlan.js';
-import type { MoneyAudit } from './auditWorld.js';
+import type { MoneyAudit } from './auditSimulation.js';
 
-/** What every scenario is given. */
+/** Options of all scenarios. */
 export interface ScenarioOptions {
   seed: number;
-  /** Length of the load of one scenario. */
+  /** Duration of the load of one scenario. */
   seconds: number;
 }
 
-/** Tokens out of use after a crash. */
+/** Tokens that were unusable after a crash. */
 export interface Stranded {
   tokens: number;
-  /** The same as seconds of the killed router's mean demand. */
+  /** The tokens divided by the mean demand of the killed router, in seconds. */
   demandSeconds: number;
-  /** From the kill until all of them could be spent again, in milliseconds. */
+  /** Milliseconds from the kill until all tokens were free; `Infinity` after the time limit. */
   freeAfterMs: number;
 }
 
@@ -27,25 +27,25 @@
   outcomes: Record<string, number>;
   falseRefusals: Record<OracleType, FalseRefusals>;
   audit: MoneyAudit;
-  /** Platform calls by kind over the time of the load. */
+  /** Platform calls by kind during the load. */
   calls: Record<string, number>;
   seconds: number;
-  /** Milliseconds added before dispatch and before the final event. */
+  /** Milliseconds added before the dispatch; `bill`: before the final event. */
   reserve: Percentiles;
   bill: Percentiles;
-  /** Part of the reservations that ended within the time of one platform call. */
+  /** Fraction of the reservations that took less than one platform call. */
   reservedAtOnce: number;
   stranded?: Stranded;
 }
 
-/** Some percentiles in milliseconds. */
+/** Percentiles in milliseconds. */
 export interface Percentiles {
   p50: number;
   p95: number;
   p99: number;
 }
 
-/** Percentiles of values; zeros when there are none. */
+/** Returns percentiles of values; zeros if there are none. */
 export function percentilesOf(values: readonly number[]): Percentiles {
   const sorted = [...values].sort((left, right) => left - right);
   const at = (part: number): number => sorted[Math.floor(part * (sorted.length - 1))] ?? 0;
--- a/packages/lab/src/node/budgetMeasure/scenarios.ts
+++ b/packages/lab/src/node/budgetMeasure/scenarios.ts
@@ -1,21 +1,21 @@
-/** Scenarios of the budget measurement: exhaustion, cut, crash and rate. */
+/** Scenarios of the budget measurement: exhaustion, partition, crash and high rate. */
 
 import type { LedgerPage } from '@flamingocourse/core';
 import type { OracleTopUp } from '../../runtime/budgetMeasure/oracle.js';
 import type { BudgetRequest, RequestRecord } from '../../runtime/budgetMeasure/requestPlan.js';
 import type { ScenarioOptions, ScenarioResult, Stranded } from './scenarioTypes.js';
-import type { WorldOptions } from './budgetWorld.js';
+import type { SimulationOptions } from './budgetSimulation.js';
 import { changeBudget } from '@flamingocourse/core';
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom } from '../../runtime/random.js';
 import { countFalseRefusals } from '../../runtime/budgetMeasure/oracle.js';
 import { meanDemand, planRequests } from '../../runtime/budgetMeasure/requestPlan.js';
-import { auditWorld, journalsOf } from './auditWorld.js';
-import { BudgetWorld } from './budgetWorld.js';
+import { auditSimulation, journalsOf } from './auditSimulation.js';
+import { BudgetSimulation } from './budgetSimulation.js';
 import { driveRequests } from './driveRequests.js';
 import { countOutcomes, percentilesOf } from './scenarioTypes.js';
 
-/** A scenario by name. */
+/** Runs one scenario. */
 export type Scenario = (options: ScenarioOptions) => Promise<ScenarioResult>;
 
 const DATA_CENTRES = 4;
@@ -25,18 +25,18 @@
 const STORE_LATENCY_MS = 5;
 const MS_PER_SECOND = 1_000;
 
-/** The first data centre has the busiest router, so a cut of it is the hardest. */
+/** The first data centre contains the busiest router, so that its partition is the worst case. */
 const CUT_DATA_CENTRE = 'dc-1';
 const CUT_ROUTERS = [0, DATA_CENTRES];
 
-/** Length of the cut that is stood in for, in seconds. */
+/** Duration of the real partition that the scenario represents, in seconds. */
 const CUT_SECONDS = 600;
 
-/** Parts of the load before the cut and in it; the rest follows the heal. */
-const BEFORE_CUT = 0.25;
-const IN_CUT = 0.5;
+/** Fractions of the load time before and during the partition; the rest follows it. */
+const FRACTION_BEFORE_CUT = 0.25;
+const FRACTION_IN_CUT = 0.5;
 
-/** Time after which sealing of a killed router is given up, in milliseconds. */
+/** Time limit for the sealing of a killed router, in milliseconds. */
 const SEAL_TIMEOUT_MS = 20_000;
 
 const POLL_MS = 10;
@@ -44,16 +44,16 @@
 interface RunPlan {
   name: string;
   ratePerSecond: number;
-  /** Budget as a part of what all requests together would use. */
-  budgetPart: number;
+  /** Budget as a fraction of the total demand of all requests. */
+  budgetFraction: number;
   rideThroughSeconds: number;
-  policy?: WorldOptions['policy'];
-  /** Runs beside the load. */
-  during?: (run: Run) => Promise<Partial<ScenarioResult>>;
+  policy?: SimulationOptions['policy'];
+  /** Runs concurrently with the load. */
+  runDuringLoad?: (run: Run) => Promise<Partial<ScenarioResult>>;
 }
 
 interface Run {
-  world: BudgetWorld;
+  simulation: BudgetSimulation;
   plan: BudgetRequest[];
   seconds: number;
   topUps: OracleTopUp[];
@@ -65,38 +65,38 @@
     runScenario(options, {
       name: 'exhaustion',
       ratePerSecond: 200,
-      budgetPart: 0.7,
+      budgetFraction: 0.7,
       rideThroughSeconds: 60,
     }),
   cut: (options) =>
     runScenario(options, {
       name: 'cut',
       ratePerSecond: 200,
-      budgetPart: 2,
-      // the deployment asks for as long a ride-through as the cut takes.
-      rideThroughSeconds: options.seconds * IN_CUT,
-      during: cutAndTopUp,
+      budgetFraction: 2,
+      // the ride-through equals the duration of the partition.
+      rideThroughSeconds: options.seconds * FRACTION_IN_CUT,
+      runDuringLoad: partitionAndTopUp,
     }),
   crash: (options) =>
     runScenario(options, {
       name: 'crash',
       ratePerSecond: 200,
-      budgetPart: 2,
+      budgetFraction: 2,
       rideThroughSeconds: 60,
-      during: killBusiest,
+      runDuringLoad: killBusiest,
     }),
   rate: (options) =>
     runScenario(options, {
       name: 'rate',
       ratePerSecond: 1_000,
-      budgetPart: 4,
+      budgetFraction: 4,
       rideThroughSeconds: 60,
     }),
 };
 
-/** Factor by which the cut is shorter than the one that it stands in for. */
+/** Returns how many times shorter the partition is than the real one. */
 export function cutCompression({ seconds }: ScenarioOptions): number {
-  return CUT_SECONDS / (seconds * IN_CUT);
+  return CUT_SECONDS / (seconds * FRACTION_IN_CUT);
 }
 
 async function runScenario(options: ScenarioOptions, plan: RunPlan): Promise<ScenarioResult> {
@@ -105,9 +105,9 @@
   const requests = planRequests(size, createRandom(seed));
   const budgets = new Map<string, number>();
   for (const [account, demand] of meanDemand(requests, seconds)) {
-    budgets.set(account, Math.floor(demand * seconds * plan.budgetPart));
+    budgets.set(account, Math.floor(demand * seconds * plan.budgetFraction));
   }
-  const world = new BudgetWorld({
+  const simulation = new BudgetSimulation({
     dataCentres: DATA_CENTRES,
     routersPerDataCentre: ROUTERS_PER_DATA_CENTRE,
     budgets,
@@ -115,15 +115,15 @@
     rideThroughSeconds: plan.rideThroughSeconds,
     storeLatencyMs: STORE_LATENCY_MS,
   });
-  await world.start();
-  world.store.calls.clear();
-  const run: Run = { world, plan: requests, seconds, topUps: [] };
-  const driven = driveRequests(world, requests);
-  const extra = plan.during?.(run);
-  const records = await driven;
-  const calls = Object.fromEntries(world.store.calls);
-  const figures = await extra;
-  await world.stop();
+  await simulation.start();
+  simulation.store.calls.clear();
+  const run: Run = { simulation, plan: requests, seconds, topUps: [] };
+  const recordsPromise = driveRequests(simulation, requests);
+  const extraFigures = plan.runDuringLoad?.(run);
+  const records = await recordsPromise;
+  const calls = Object.fromEntries(simulation.store.calls);
+  const figures = await extraFigures;
+  await simulation.stop();
   return {
     ...figuresOf(plan.name, records, seconds),
     calls,
@@ -131,7 +131,7 @@
       naive: countFalseRefusals('naive', budgets, records, run.topUps),
       perfect: countFalseRefusals('perfect', budgets, records, run.topUps),
     },
-    audit: auditWorld(world, records),
+    audit: auditSimulation(simulation, records),
     ...figures,
   };
 }
@@ -154,61 +154,61 @@
   };
 }
 
-/** Cuts the busiest data centre off and tops every account up in the middle of the cut. */
-async function cutAndTopUp({
-  world,
+/** Partitions the busiest data centre and tops up all accounts in the middle of the partition. */
+async function partitionAndTopUp({
+  simulation,
   plan,
   seconds,
   topUps,
 }: Run): Promise<Partial<ScenarioResult>> {
-  await delay(seconds * BEFORE_CUT * MS_PER_SECOND);
-  world.cut(CUT_DATA_CENTRE);
-  const halfMs = (seconds * IN_CUT * MS_PER_SECOND) / 2;
+  await delay(seconds * FRACTION_BEFORE_CUT * MS_PER_SECOND);
+  simulation.cut(CUT_DATA_CENTRE);
+  const halfMs = (seconds * FRACTION_IN_CUT * MS_PER_SECOND) / 2;
   await delay(halfMs);
   const at = Date.now();
   const hiddenFrom = { routers: CUT_ROUTERS, until: at + halfMs };
   for (const [account, demand] of meanDemand(plan, seconds)) {
     const amount = Math.floor(demand * seconds);
-    await topUp(world, account, amount, at);
+    await topUp(simulation, account, amount, at);
     topUps.push({ account, amount, at, hiddenFrom });
   }
   await delay(hiddenFrom.until - Date.now());
-  world.heal(CUT_DATA_CENTRE);
+  simulation.heal(CUT_DATA_CENTRE);
   return {};
 }
 
 async function topUp(
-  world: BudgetWorld,
+  simulation: BudgetSimulation,
   account: string,
   amount: number,
   at: number,
 ): Promise<void> {
   const change = { id: `top-up-${account}`, amount, by: 'operator', at };
   for (;;) {
-    const read = (await world.store.get('ledgers', '0')).unwrapOrElse(failRead);
+    const read = (await simulation.store.get('ledgers', '0')).unwrapOrElse(throwStoreError);
     const changed = changeBudget(read.value as LedgerPage, account, change);
     const page = changed.unwrapOrElse((fault) => {
       throw new Error(fault.message);
     });
-    const written = await world.store.update('ledgers', '0', read.version, page);
+    const written = await simulation.store.update('ledgers', '0', read.version, page);
     if (written.isOk) return;
   }
 }
 
-function failRead(err: { message: string }): never {
+function throwStoreError(err: { message: string }): never {
   throw new Error(err.message);
 }
 
 /** Kills the busiest router in the middle of the load and waits until its slices are free. */
-async function killBusiest({ world, plan, seconds }: Run): Promise<Partial<ScenarioResult>> {
+async function killBusiest({ simulation, plan, seconds }: Run): Promise<Partial<ScenarioResult>> {
   await delay((seconds * MS_PER_SECOND) / 2);
-  const victim = world.routers[0];
+  const victim = simulation.routers[0];
   if (!victim) return {};
   const { incarnation } = victim.fleet.self;
   const killedAt = Date.now();
   victim.killedAt = killedAt;
   const holder = (): { state: string; slices: Record<string, number> } | undefined =>
-    journalsOf(world)[0]?.holders[incarnation];
+    journalsOf(simulation)[0]?.holders[incarnation];
   const tokens = Object.values(holder()?.slices ?? {}).reduce((sum, slice) => sum + slice, 0);
   while (holder()?.state !== 'sealed' && Date.now() - killedAt < SEAL_TIMEOUT_MS) {
     await delay(POLL_MS);
--- a/packages/lab/src/node/configMeasure/changeRecorder.ts
+++ b/packages/lab/src/node/configMeasure/changeRecorder.ts
@@ -1,24 +1,24 @@
-/** Records when accepted changes come into force at each router, and whether one ever reverts. */
+/** Records when accepted changes come into force at each router, and whether a change reverts. */
 
 import type { MeasuredRouter } from './measuredFleet.js';
 
-/** An accepted change: the account's opening budget carries its number. */
+/** An accepted change; its number is the opening budget of the account. */
 export interface AcceptedChange {
   account: string;
   number: number;
   at: number;
 }
 
-/** Watches the configuration of some routers. */
+/** Observes the configuration of some routers. */
 export class ChangeRecorder {
-  /** Milliseconds from acceptance to force, of each change at each router. */
+  /** Milliseconds from acceptance until in force, for each change at each router. */
   readonly times: number[] = [];
-  /** Sentences; empty when nothing went back. */
+  /** Descriptions of reverted changes. */
   readonly reverts: string[] = [];
   readonly #routers: readonly MeasuredRouter[];
   readonly #inForce = new Map<MeasuredRouter, Map<string, number>>();
   readonly #pending = new Map<MeasuredRouter, AcceptedChange[]>();
-  readonly #ends: (() => void)[];
+  readonly #unsubscribers: (() => void)[];
 
   constructor(routers: readonly MeasuredRouter[]) {
     this.#routers = routers;
@@ -26,31 +26,31 @@
       this.#inForce.set(router, new Map());
       this.#pending.set(router, []);
     }
-    this.#ends = routers.map((router) =>
+    this.#unsubscribers = routers.map((router) =>
       router.configuration.onChange(() => {
-        this.#look(router);
+        this.#update(router);
       }),
     );
   }
 
-  /** Adds a change as soon as the platform has accepted it. */
+  /** Adds a change; call it as soon as the platform has accepted the change. */
   accepted(change: AcceptedChange): void {
     for (const router of this.#routers) {
       this.#pending.get(router)?.push(change);
-      this.#look(router);
+      this.#update(router);
     }
   }
 
-  /** Changes that are not in force at some router. */
+  /** Number of changes that are not yet in force, summed over the routers. */
   get missing(): number {
     return [...this.#pending.values()].reduce((sum, changes) => sum + changes.length, 0);
   }
 
   stop(): void {
-    for (const end of this.#ends) end();
+    for (const end of this.#unsubscribers) end();
   }
 
-  #look(router: MeasuredRouter): void {
+  #update(router: MeasuredRouter): void {
     const now = performance.now();
     this.#checkReverts(router);
     const known = this.#inForce.get(router);
--- a/packages/lab/src/node/configMeasure/measuredFleet.ts
+++ b/packages/lab/src/node/configMeasure/measuredFleet.ts
@@ -1,4 +1,4 @@
-/** Routers without the request path in this process: real mesh, membership and configuration. */
+/** Routers in this process with real mesh, membership and configuration but no request path. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { RouterContext, RouterSettings } from '@flamingocourse/router';
@@ -14,10 +14,10 @@
 } from '@flamingocourse/router';
 import { LabError } from '../../utils/labError.js';
 
-/** As long as a real deployment's, because it goes over the wire with each call. */
+/** As long as a real secret, because each call sends it over the network. */
 const FLEET_SECRET = 'a-shared-secret-of-thirty-two-ch';
 const POLL_MS = 20;
-/** Longest wait until all routers know each other; large fleets go on without. */
+/** Time limit for all routers to know each other; after it, the measurement starts anyway. */
 const SETTLE_TIMEOUT_MS = 20_000;
 
 /** One router. */
@@ -26,20 +26,20 @@
   dataCentre: string;
   fleet: FleetService;
   configuration: ConfigurationService;
-  /** This router's own way to the platform, with its fault switches. */
+  /** This router's connection to the platform, with its own fault switches. */
   store: MemoryObjectStore;
-  /** Ends it without a word, as a crash would. */
+  /** Stops the router without notifying its peers, as a crash would. */
   kill(): Promise<void>;
 }
 
-/** How large a fleet is. */
+/** Size of a fleet. */
 export interface FleetSize {
   dataCentres: number;
   routersPerDataCentre: number;
 }
 
 /**
- * A fleet of routers on loopback, with the default times of the product.
+ * A fleet of routers on loopback, with the default intervals and timeouts.
  *
  * @example
  * const fleet = await MeasuredFleet.start({ dataCentres: 4, routersPerDataCentre: 2 });
@@ -50,7 +50,7 @@
   readonly #urls: string[] = [];
   readonly #instances: InstanceRecord[] = [];
 
-  /** Starts all routers and waits a bounded time until those of each data centre know each other. */
+  /** Starts all routers; waits, with a time limit, until those of a data centre know each other. */
   static async start(size: FleetSize): Promise<MeasuredFleet> {
     const fleet = new MeasuredFleet();
     for (let n = 0; n < size.routersPerDataCentre; n += 1) {
@@ -59,7 +59,7 @@
       }
     }
     const others = size.routersPerDataCentre - 1;
-    await waitAtMost(SETTLE_TIMEOUT_MS, () => fleet.fewestLocalPeers === others);
+    await waitUntil(SETTLE_TIMEOUT_MS, () => fleet.fewestLocalPeers === others);
     return fleet;
   }
 
@@ -68,12 +68,12 @@
     return this.#routers;
   }
 
-  /** Local peers that the router knows which knows fewest. */
+  /** Smallest number of local peers that any router knows. */
   get fewestLocalPeers(): number {
     return Math.min(...this.#routers.map((router) => router.fleet.localPeers().length));
   }
 
-  /** The router that watches the platform for a data centre. */
+  /** Returns the router that watches the platform for a data centre. */
   relay(dataCentre: string): MeasuredRouter {
     const members = this.#routers.filter((router) => router.dataCentre === dataCentre);
     const relay = members.find(
@@ -88,7 +88,7 @@
     await router.kill();
   }
 
-  /** Ends all; as crashes, since nobody is left to hear a last word. */
+  /** Kills all routers; a graceful stop is not needed, as no peers remain. */
   async stop(): Promise<void> {
     await Promise.all(this.#routers.map((router) => router.kill()));
     this.#routers = [];
@@ -117,9 +117,9 @@
   }
 }
 
-async function waitAtMost(timeoutMs: number, holds: () => boolean): Promise<void> {
+async function waitUntil(timeoutMs: number, condition: () => boolean): Promise<void> {
   const end = performance.now() + timeoutMs;
-  while (!holds() && performance.now() < end) await delay(POLL_MS);
+  while (!condition() && performance.now() < end) await delay(POLL_MS);
 }
 
 function createContext(dataCentre: string, instance: string, seeds: string[]): RouterContext {
@@ -128,7 +128,7 @@
     instance,
     dataCentre,
     entry: { ...settingsDefaults.entry, publicUrl: 'http://127.0.0.1:20000' },
-    // port 0 makes the fleet service tell its peers the address that the listener was given.
+    // with port 0, the fleet service announces the address of its listener.
     mesh: { ...settingsDefaults.mesh, port: 0, publicUrl: 'http://127.0.0.1:0', seeds },
   } as unknown as RouterSettings;
   return {
--- a/packages/lab/src/node/configMeasure/restCost.ts
+++ b/packages/lab/src/node/configMeasure/restCost.ts
@@ -1,27 +1,27 @@
-/** What a fleet at rest costs: bytes of control traffic and processor time of each router. */
+/** Measures control traffic and processor time of each router of an idle fleet. */
 
 import type { FleetSize } from './measuredFleet.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { MeasuredFleet } from './measuredFleet.js';
 import { SocketBytes } from './socketBytes.js';
 
-/** Time after which no member counts as new any more, so that introductions are rare again. */
+/** Time after which no member is treated as new, so that introductions are rare again. */
 const SETTLE_MS = 12_000;
 
 /** Costs of one router. */
 export interface RestCost {
   routers: number;
   dataCentres: number;
-  /** Local peers known to the router that knows fewest, when the measurement began. */
+  /** Smallest number of local peers that any router knew at the start of the measurement. */
   fewestLocalPeers: number;
-  /** Sent and received, so each byte counts at both of its ends. */
+  /** Bytes sent and received; each byte is counted at both ends. */
   bytesPerSecond: number;
-  /** Milliseconds of processor time per second, both ends of all calls. */
+  /** Milliseconds of processor time per second, for both ends of all calls. */
   cpuMsPerSecond: number;
 }
 
 /**
- * Measures a fleet that has nothing to do.
+ * Measures an idle fleet for `durationMs` milliseconds.
  *
  * @example
  * const cost = await measureRest({ dataCentres: 4, routersPerDataCentre: 2 }, 10_000);
--- a/packages/lab/src/node/configMeasure/runConfigMeasure.ts
+++ b/packages/lab/src/node/configMeasure/runConfigMeasure.ts
@@ -1,4 +1,4 @@
-/** The measurement `config`: time until changes are in force, and the cost of a fleet at rest. */
+/** Measurement `config`: time until changes are in force, and cost of an idle fleet. */
 
 import type { ReportDocument, ReportTable } from '../../types/report.js';
 import type { FleetSize } from './measuredFleet.js';
@@ -7,7 +7,7 @@
 import { measureRest } from './restCost.js';
 import { configScenarios, runConfigScenario } from './scenarios.js';
 
-/** Longest time within which an accepted change must be in force. */
+/** Time limit for an accepted change to be in force. */
 const IN_FORCE_LIMIT_MS = 3_000;
 const CHANGES = 100;
 const REST_MS = 10_000;
@@ -17,11 +17,11 @@
   routersPerDataCentre,
 }));
 
-/** Raw figures and the report made of them. */
+/** Raw figures and the report of them. */
 export interface ConfigMeasureResult {
   scenarios: (Omit<ConfigScenarioResult, 'times'> & { p50: number; p95: number; max: number })[];
   rest: RestCost[];
-  /** Sentences; empty when everything held. */
+  /** Descriptions of violations; empty on success. */
   violations: string[];
   report: ReportDocument;
 }
@@ -58,7 +58,9 @@
   const late = times.filter((ms) => ms > IN_FORCE_LIMIT_MS).length;
   return [
     ...reverts.map((revert) => `${name}: ${revert}`),
-    ...(late > 0 ? [`${name}: ${late} times over ${IN_FORCE_LIMIT_MS} ms`] : []),
+    ...(late > 0
+      ? [`${name}: ${late} changes took longer than ${IN_FORCE_LIMIT_MS} ms at a router`]
+      : []),
     ...(missing > 0 ? [`${name}: ${missing} changes never came into force at a router`] : []),
   ];
 }
--- a/packages/lab/src/node/configMeasure/scenarios.ts
+++ b/packages/lab/src/node/configMeasure/scenarios.ts
@@ -1,4 +1,4 @@
-/** Runs of changes under faults. */
+/** Scenarios that write changes under faults. */
 
 import type { Collection, ObjectStore } from '@flamingocourse/store';
 import type { FleetSize } from './measuredFleet.js';
@@ -12,32 +12,32 @@
 /** Time between two changes. */
 const CHANGE_GAP_MS = 100;
 const ACCOUNTS = 10;
-/** How long the last changes are waited for. */
-const LAST_WAIT_MS = 10_000;
+/** Time limit for the last changes to be in force. */
+const IN_FORCE_TIMEOUT_MS = 10_000;
 const POLL_MS = 20;
-/** Tries of one operator who loses against the other. */
-const MAX_WRITE_TRIES = 20;
+/** Maximum number of attempts of an operator whose writes conflict. */
+const MAX_WRITE_ATTEMPTS = 20;
 
-/** The platform keeps declarations as they are written; only the routers read them into bodies. */
+/** The platform stores declarations as written; only the routers parse them. */
 const declarations: Collection<unknown> = { name: 'declarations', schema: z.unknown() };
 
 const accountSchema = z.object({ openingTokens: z.number() });
 
-/** A fault that begins at the middle of the run. */
+/** A scenario, with a fault that starts in the middle of the run. */
 export interface ConfigScenario {
   name: string;
-  /** Operators who write each change's account at the same time. @default 1 */
+  /** Number of operators that write to the same account concurrently. @default 1 */
   operators?: number;
-  /** Brings the fault about; the changes before it must be in force everywhere. */
-  disturb?: (fleet: MeasuredFleet) => Promise<void> | void;
+  /** Injects the fault; the earlier changes must be in force at all routers. */
+  injectFault?: (fleet: MeasuredFleet) => Promise<void> | void;
 }
 
-/** What came of one scenario. */
+/** Result of one scenario. */
 export interface ConfigScenarioResult {
   name: string;
   changes: number;
   routers: number;
-  /** Milliseconds to force over all changes and routers. */
+  /** Milliseconds from acceptance until in force, for all changes and routers. */
   times: number[];
   conflicts: number;
   missing: number;
@@ -47,8 +47,8 @@
 /** The scenarios that are measured. */
 export const configScenarios: readonly ConfigScenario[] = [
   { name: 'no fault' },
-  { name: 'relay killed', disturb: (fleet) => fleet.kill(fleet.relay('dc-0')) },
-  { name: 'data centre cut from the platform', disturb: cutFromPlatform },
+  { name: 'relay killed', injectFault: (fleet) => fleet.kill(fleet.relay('dc-0')) },
+  { name: 'data centre cut from the platform', injectFault: cutFromPlatform },
   { name: 'two operators racing', operators: 2 },
 ];
 
@@ -73,18 +73,18 @@
 
 async function writeChanges(
   fleet: MeasuredFleet,
-  { name, disturb, operators = 1 }: ConfigScenario,
+  { name, injectFault, operators = 1 }: ConfigScenario,
   changes: number,
 ): Promise<ConfigScenarioResult> {
   let recorder = new ChangeRecorder(fleet.routers);
   const recorders = [recorder];
   let conflicts = 0;
   for (let n = 0; n < changes; n += operators) {
-    if (n === changes / 2 && disturb) {
-      await waitForForce(recorder);
+    if (n === changes / 2 && injectFault) {
+      await waitUntilInForce(recorder);
       recorder.stop();
-      await disturb(fleet);
-      // routers that were killed are asked no more.
+      await injectFault(fleet);
+      // the new recorder observes only the routers that were not killed.
       recorder = new ChangeRecorder(fleet.routers);
       recorders.push(recorder);
     }
@@ -92,10 +92,10 @@
     const writes = Array.from({ length: operators }, (_, i) =>
       writeChange(fleet.platform.view(), account, n + i, recorder),
     );
-    for (const lost of await Promise.all(writes)) conflicts += lost;
+    for (const conflictCount of await Promise.all(writes)) conflicts += conflictCount;
     await delay(CHANGE_GAP_MS);
   }
-  await waitForForce(recorder);
+  await waitUntilInForce(recorder);
   recorder.stop();
   return {
     name,
@@ -108,14 +108,14 @@
   };
 }
 
-async function waitForForce(recorder: ChangeRecorder): Promise<void> {
-  const end = performance.now() + LAST_WAIT_MS;
+async function waitUntilInForce(recorder: ChangeRecorder): Promise<void> {
+  const end = performance.now() + IN_FORCE_TIMEOUT_MS;
   while (recorder.missing > 0 && performance.now() < end) await delay(POLL_MS);
 }
 
 /**
- * Writes a change as the operators' command does: read, then a conditional update, and again after a
- * conflict. Returns the number of conflicts.
+ * Writes a change as the operators' command does: reads the object, then updates it conditionally;
+ * retries after a conflict. Returns the number of conflicts.
  */
 async function writeChange(
   store: ObjectStore,
@@ -124,7 +124,7 @@
   recorder: ChangeRecorder,
 ): Promise<number> {
   const name = `ClientAccount.${account}`;
-  for (let conflicts = 0; conflicts < MAX_WRITE_TRIES; conflicts += 1) {
+  for (let conflicts = 0; conflicts < MAX_WRITE_ATTEMPTS; conflicts += 1) {
     const known = await store.get(declarations, name);
     const openingTokens = Math.max(number, known.isOk ? openingTokensOf(known.value.value) : 0);
     const value = describeAccount(account, openingTokens);
@@ -135,7 +135,10 @@
     recorder.accepted({ account, number, at: performance.now() });
     return conflicts;
   }
-  throw new LabError('measure-failed', `the change of ${account} lost every race`);
+  throw new LabError(
+    'measure-failed',
+    `the change of ${account} was not written in ${MAX_WRITE_ATTEMPTS} attempts`,
+  );
 }
 
 function describeAccount(name: string, openingTokens: number): unknown {
--- a/packages/lab/src/node/configMeasure/socketBytes.ts
+++ b/packages/lab/src/node/configMeasure/socketBytes.ts
@@ -3,11 +3,11 @@
 import type { Socket } from 'node:net';
 import { subscribe, unsubscribe } from 'node:diagnostics_channel';
 
-/** Node's own channels that announce each socket; stable names, documented with `node:net`. */
+/** Diagnostics channels of Node that publish each new socket; documented with `node:net`. */
 const socketChannels = ['net.client.socket', 'net.server.socket'] as const;
 
 /**
- * A running count.
+ * Counts the bytes of all sockets opened after its construction.
  *
  * @example
  * const counter = new SocketBytes();
@@ -29,12 +29,12 @@
     for (const channel of socketChannels) subscribe(channel, this.#onSocket);
   }
 
-  /** Bytes sent and received so far by the sockets opened since the start of the count. */
+  /** Bytes sent and received so far by the counted sockets. */
   get total(): number {
     return [...this.#open].reduce((sum, socket) => sum + countBytes(socket), this.#closed);
   }
 
-  /** Ends the count. */
+  /** Stops counting new sockets. */
   stop(): void {
     for (const channel of socketChannels) unsubscribe(channel, this.#onSocket);
   }
--- a/packages/lab/src/node/prove/proveStage.ts
+++ b/packages/lab/src/node/prove/proveStage.ts
@@ -27,7 +27,7 @@
   fleet: FleetRunner;
   directory: string;
   /** Descriptions of planned stops that failed. */
-  stopFaults: string[];
+  stopViolations: string[];
   /** Runs the operators' command against the platform. */
   operate(...args: string[]): Promise<OperatorEnd>;
   close(): Promise<void>;
@@ -90,7 +90,7 @@
   const fleet = await createFleet(context, platform, network);
   closers.push(() => fleet.stop());
   await fleet.start();
-  return { plan, platform, backends, network, fleet, directory, stopFaults: [], operate, close };
+  return { plan, platform, backends, network, fleet, directory, stopViolations: [], operate, close };
 }
 
 async function relayBackends(
--- a/packages/lab/src/node/prove/runProve.ts
+++ b/packages/lab/src/node/prove/runProve.ts
@@ -62,7 +62,7 @@
       const run = await phase.run({ stage, findings, seed, onProgress: options.onProgress });
       figures.push({ ...run });
     }
-    findings.add(7, { checks: 0, violations: stage.stopFaults });
+    findings.add(7, { checks: 0, violations: stage.stopViolations });
   } finally {
     await stage.close();
   }
