--- a/packages/lab/src/node/budgetMeasure/budgetSimulation.ts
+++ b/packages/lab/src/node/budgetMeasure/budgetSimulation.ts
@@ -212,10 +212,8 @@
     return this.#isUnreachable(target) ? Result.err('unreachable') : answer;
   }
 
-  #isUnreachable(target: SimulatedRouter): boolean {
-    return (
-      this.#simulation.unreachableSince(this.#router.fleet.self, target.fleet.self) !== undefined
-    );
+  #isUnreachable(to: SimulatedRouter): boolean {
+    return this.#simulation.unreachableSince(this.#router.fleet.self, to.fleet.self) !== undefined;
   }
 }
 
--- a/packages/lab/src/node/budgetMeasure/measureBudget.ts
+++ b/packages/lab/src/node/budgetMeasure/measureBudget.ts
@@ -30,7 +30,7 @@
   const { only, onProgress, ...common } = options;
   const names = Object.keys(scenarios);
   if (only !== undefined && !names.includes(only)) {
-    throw new RangeError(`unknown scenario "${only}"; use one of ${names.join(', ')}`);
+    throw new RangeError(`the scenario must be one of ${names.join(', ')}, not "${only}"`);
   }
   const results: ScenarioResult[] = [];
   for (const [name, run] of Object.entries(scenarios)) {
--- a/packages/lab/src/node/configMeasure/scenarios.ts
+++ b/packages/lab/src/node/configMeasure/scenarios.ts
@@ -137,7 +137,7 @@
   }
   throw new LabError(
     'measure-failed',
-    `the change of ${account} was not written in ${MAX_WRITE_ATTEMPTS} attempts`,
+    `the change of ${account} was not written within the maximum number of attempts`,
   );
 }
 
--- a/packages/lab/src/node/prove/phases.ts
+++ b/packages/lab/src/node/prove/phases.ts
@@ -155,6 +155,7 @@
 /** Stops a router as planned and restarts it; an exit code other than 0 is a violation. */
 async function stopAndRestart(stage: ProveStage, index: number): Promise<void> {
   const end = await stage.fleet.terminate(index);
-  if (end.code !== 0) stage.stopViolations.push(`router ${index} exited with ${JSON.stringify(end)}`);
+  if (end.code !== 0)
+    stage.stopViolations.push(`router ${index} exited with ${JSON.stringify(end)}`);
   await stage.fleet.restart(index);
 }
--- a/packages/lab/src/node/prove/proveStage.ts
+++ b/packages/lab/src/node/prove/proveStage.ts
@@ -90,7 +90,17 @@
   const fleet = await createFleet(context, platform, network);
   closers.push(() => fleet.stop());
   await fleet.start();
-  return { plan, platform, backends, network, fleet, directory, stopViolations: [], operate, close };
+  return {
+    plan,
+    platform,
+    backends,
+    network,
+    fleet,
+    directory,
+    stopViolations: [],
+    operate,
+    close,
+  };
 }
 
 async function relayBackends(
