--- a/packages/lab/src/node/budgetMeasure/auditSimulation.ts
+++ b/packages/lab/src/node/budgetMeasure/auditSimulation.ts
@@ -1,4 +1,4 @@
-/** Audits the store after a run: no overspend, and each acknowledged bill is stored exactly once. */
+/** Audits the store after a run: no overspend, and each acknowledged bill stored exactly once. */
 
 import type { BillSegment, Bill, JournalState, LedgerPage } from '@flamingocourse/core';
 import type { BudgetSimulation } from './budgetSimulation.js';
--- a/packages/lab/src/node/budgetMeasure/driveRequests.ts
+++ b/packages/lab/src/node/budgetMeasure/driveRequests.ts
@@ -1,4 +1,4 @@
-/** Runs planned requests through the budget services, with the calls that the request path makes. */
+/** Runs planned requests through the budget services, with the same calls as the request path. */
 
 import type { BudgetSimulation, SimulatedRouter } from './budgetSimulation.js';
 import type { BudgetRequest, RequestRecord } from '../../runtime/budgetMeasure/requestPlan.js';
--- a/packages/lab/src/node/capacity/costLine.ts
+++ b/packages/lab/src/node/capacity/costLine.ts
@@ -13,8 +13,8 @@
 export type CostLineOptions = Pick<CostLine, 'name' | 'unit' | 'drivers' | 'points'>;
 
 /**
- * Fits a line. Throws `too-few-points` for fewer than three points, or if the runs did not vary every
- * driver.
+ * Fits a line. Throws `too-few-points` for fewer than three points, or if the runs did not vary
+ * every driver.
  *
  * @example
  * const line = fitCostLine({ name: 'queue.offer', unit: 'µs', drivers: ['length'], points });
--- a/packages/lab/src/node/capacity/cpuTime.ts
+++ b/packages/lab/src/node/capacity/cpuTime.ts
@@ -49,8 +49,8 @@
 
 /**
  * Returns the processor time of one call in milliseconds: the median of five repetitions, each with
- * enough calls for the resolution of the clock. Earlier repetitions, which also compile the code, are
- * not counted.
+ * enough calls for the resolution of the clock. Earlier repetitions, which also compile the code,
+ * are not counted.
  *
  * @example
  * const ms = cpuMsPerCall(() => JSON.stringify(page));
--- a/packages/lab/src/node/capacity/journalCosts.ts
+++ b/packages/lab/src/node/capacity/journalCosts.ts
@@ -1,4 +1,4 @@
-/** Measures the size of a journal and the processor time of a group commit with the real reducer. */
+/** Measures the size of a journal and the processor time of a group commit of the real reducer. */
 
 import type { JournalHolder, JournalLine, JournalState } from '@flamingocourse/core';
 import type { CostLine, CostPoint } from './types.js';
--- a/packages/lab/src/node/capacity/routerCosts.ts
+++ b/packages/lab/src/node/capacity/routerCosts.ts
@@ -143,8 +143,8 @@
 }
 
 /**
- * Counts platform calls by kind. At rest, the drivers are data centres and routers; under load, with
- * and without idempotency keys, requests are a driver too.
+ * Counts platform calls by kind. At rest, the drivers are data centres and routers; under load,
+ * with and without idempotency keys, requests are a driver too.
  */
 export async function measureCalls(seed: number, onProgress: Progress): Promise<CostLine[]> {
   const counted: CountedCalls[] = [];
--- a/packages/lab/src/node/engineStandIn/engineStandIn.ts
+++ b/packages/lab/src/node/engineStandIn/engineStandIn.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine with continuous batching, prefix cache, resume, cancel and faults. */
+/** Stand-in for a model engine: continuous batching, prefix cache, resume, cancel and faults. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { CacheEvent } from '../../runtime/prefixCache.js';
--- a/packages/lab/src/node/mutants/runMutants.ts
+++ b/packages/lab/src/node/mutants/runMutants.ts
@@ -1,4 +1,4 @@
-/** Model-checks each mutant until a violation is found, and the correct protocol up to a limit of states. */
+/** Model-checks each mutant until a violation is found, and the correct protocol up to a limit. */
 
 import type { Mutant, WalkResult } from '../../runtime/walk/index.js';
 import Table from 'cli-table3';
--- a/packages/lab/src/node/platformStandIn/entrance.ts
+++ b/packages/lab/src/node/platformStandIn/entrance.ts
@@ -1,4 +1,4 @@
-/** One entrance of the platform stand-in: the HTTP listener for one data centre or for operators. */
+/** Entrance of the platform stand-in: the HTTP listener for one data centre or for operators. */
 
 import type { CallKind, ObjectTable } from '@flamingocourse/store';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
--- a/packages/lab/src/node/platformStandIn/platformStandIn.ts
+++ b/packages/lab/src/node/platformStandIn/platformStandIn.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: one object store and instance list, with a listener per data centre. */
+/** Stand-in for the platform: an object store and instance list with one listener per data centre. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { Server } from 'node:http';
--- a/packages/lab/src/node/platformStandIn/watchHub.ts
+++ b/packages/lab/src/node/platformStandIn/watchHub.ts
@@ -12,7 +12,7 @@
 }
 
 /**
- * Sends changes to open watches. Each watch has a cursor, so that changes which a fault held back are
+ * Sends changes to open watches. Each watch has a cursor, so that changes which a fault delayed are
  * sent when the fault ends.
  */
 export class WatchHub {
--- a/packages/lab/src/node/prove/configurationPhase.ts
+++ b/packages/lab/src/node/prove/configurationPhase.ts
@@ -133,8 +133,8 @@
 }
 
 /**
- * Two operators apply at the same time. Both may be accepted, one after the other; the stored change
- * must be one of those that exited with 0.
+ * Two operators apply at the same time. Both may be accepted, one after the other; the stored
+ * change must be one of those that exited with 0.
  */
 async function applyConcurrently(stage: ProveStage, model: string): Promise<string[]> {
   const names = [`${model}-one`, `${model}-two`];
--- a/packages/lab/src/node/prove/leavingPhase.ts
+++ b/packages/lab/src/node/prove/leavingPhase.ts
@@ -1,4 +1,4 @@
-/** Promise 6: servers leave by the instance list, by their own health check, and by a drain command. */
+/** Promise 6: servers leave by instance list, by health check, and by drain command. */
 
 import type { EngineStandIn } from '../engineStandIn/index.js';
 import type { PhaseFigures, PhaseContext } from './loadPhase.js';
--- a/packages/lab/src/node/prove/loadPhase.ts
+++ b/packages/lab/src/node/prove/loadPhase.ts
@@ -1,4 +1,4 @@
-/** A phase of the proof: load with faults at fixed times, then all audits when the system is quiet. */
+/** A phase of the proof: load with faults at fixed times, then all audits in a quiet system. */
 
 import type { LoadResult } from '../../types/load.js';
 import type { Findings } from '../../runtime/prove/findings.js';
--- a/packages/lab/src/node/prove/proveDeclarations.ts
+++ b/packages/lab/src/node/prove/proveDeclarations.ts
@@ -1,4 +1,4 @@
-/** Declarations of the proof: accounts with small budgets that run out, and one with a large one. */
+/** Declarations of the proof: accounts with small budgets that run out, and one large budget. */
 
 import type { LoadAccount, MixItem } from '../../types/load.js';
 import { writeFile } from 'node:fs/promises';
--- a/packages/lab/src/node/prove/proveStage.ts
+++ b/packages/lab/src/node/prove/proveStage.ts
@@ -1,4 +1,4 @@
-/** Router processes of the proof, with stand-ins in this process and network relays between them. */
+/** Router processes of the proof, with stand-ins in this process and relays between them. */
 
 import type { Bill, BillSegment, JournalState, LedgerPage } from '@flamingocourse/core';
 import type { DeploymentPlan } from '../../runtime/deployments.js';
@@ -34,8 +34,8 @@
 }
 
 /**
- * Starts all components; if one fails, stops those already started. `settings` override the settings
- * of all routers, by section.
+ * Starts all components; if one fails, stops those already started. `settings` override the
+ * settings of all routers, by section.
  *
  * @example
  * const stage = await startStage(deployments['tsagaan-deel'], directory, 1);
--- a/packages/lab/src/types/engineStandIn.ts
+++ b/packages/lab/src/types/engineStandIn.ts
@@ -19,7 +19,7 @@
   lateChunks: number;
   /** Fraction of the requests that are answered with status 500 before they run. @default 0 */
   errorRate: number;
-  /** Finishes open streams, refuses new requests and reports `leaving` in `/health`. @default false */
+  /** Finishes open streams, refuses new requests, reports `leaving` in `/health`. @default false */
   leaving: boolean;
 }
 
--- a/packages/lab/src/types/fleetRunner.ts
+++ b/packages/lab/src/types/fleetRunner.ts
@@ -1,4 +1,4 @@
-/** Options and states of the router processes that the lab starts, stops and injects faults into. */
+/** Options and states of router processes that the lab starts, stops and injects faults into. */
 
 import type { InstanceRecord } from '@flamingocourse/core';
 import type { Network } from '../node/network/index.js';
