--- a/packages/core/src/runtime/admission/drainRate.ts
+++ b/packages/core/src/runtime/admission/drainRate.ts
@@ -29,7 +29,7 @@
     const recent = this.#takes.filter((at) => now - at <= MAX_AGE_MS);
     const first = recent[0];
     if (first === undefined || recent.length < MIN_TAKES) return undefined;
-    // up to `now`, not up to the last take, so that the rate of a stalled queue decreases.
+    // Counts the time up to `now`, not the last take, so that the rate of a stalled queue decreases.
     return recent.length / Math.max(now - first, 1);
   }
 }
--- a/packages/core/src/runtime/configStore/configStore.ts
+++ b/packages/core/src/runtime/configStore/configStore.ts
@@ -1,7 +1,7 @@
 /**
  * Declared objects as one router knows them, merged from the platform and from peers. The highest
  * revision of each object wins, deletions included, so that the configuration never reverts,
- * whatever the order in which reads and messages arrive.
+ * regardless of the order in which reads and messages arrive.
  */
 
 import type { DeclarationKind, DeclaredObject } from '../../types/declaration.js';
--- a/packages/core/src/runtime/gossip/gossipLog.ts
+++ b/packages/core/src/runtime/gossip/gossipLog.ts
@@ -53,9 +53,9 @@
   }
 
   /** Adds a fact that this instance observed itself. */
-  add(news: GossipFact, now: EpochMs): void {
+  add(fact: GossipFact, now: EpochMs): void {
     const { last } = this.#originOf(this.#self);
-    this.#keep(this.#self, { seq: last + 1, at: now, news }, now);
+    this.#append(this.#self, { seq: last + 1, at: now, news: fact }, now);
   }
 
   /** Adds facts from another instance; returns those that were new, in the order received. */
@@ -63,30 +63,30 @@
     return items.flatMap(({ origin, seq, ageMs, news }) => {
       if (seq <= this.#originOf(origin).last) return [];
       const at = now - ageMs;
-      this.#keep(origin, { seq, at, news }, now);
+      this.#append(origin, { seq, at, news }, now);
       return [{ at, news }];
     });
   }
 
   /** Facts that an instance with the given version vector misses, oldest first for each origin. */
   missingFrom(known: VersionVector, now: EpochMs): GossipItem[] {
-    const lacked = [...this.#origins].flatMap(([origin, { kept }]) => {
+    const missing = [...this.#origins].flatMap(([origin, { kept }]) => {
       const after = known[origin] ?? 0;
       return kept
         .filter(({ seq }) => seq > after)
         .map(({ seq, at, news }) => ({ origin, seq, ageMs: Math.max(0, now - at), news }));
     });
-    return lacked.slice(0, MAX_FACTS_PER_MESSAGE);
+    return missing.slice(0, MAX_FACTS_PER_MESSAGE);
   }
 
   #originOf(name: IncarnationId): Origin {
     return this.#origins.get(name) ?? { last: 0, kept: [] };
   }
 
-  #keep(name: IncarnationId, news: KeptFact, now: EpochMs): void {
+  #append(name: IncarnationId, fact: KeptFact, now: EpochMs): void {
     const origin = this.#originOf(name);
-    origin.kept.push(news);
-    origin.last = news.seq;
+    origin.kept.push(fact);
+    origin.last = fact.seq;
     // keep origins in the order of their last addition.
     this.#origins.delete(name);
     this.#origins.set(name, origin);
--- a/packages/core/src/runtime/membership/memberHealth.ts
+++ b/packages/core/src/runtime/membership/memberHealth.ts
@@ -85,7 +85,7 @@
 
 /**
  * Whether a later incarnation of the same instance has replaced a member. The later one must have
- * been heard from more than once: the first heartbeat of an old incarnation can arrive late and
+ * been seen alive more than once: the first heartbeat of an old incarnation can arrive late and
  * must not replace the current one.
  */
 function isSuperseded(member: KnownMember, incarnations: KnownMember[]): boolean {
--- a/packages/core/src/runtime/membership/membership.ts
+++ b/packages/core/src/runtime/membership/membership.ts
@@ -24,7 +24,7 @@
 }
 
 /**
- * Message from one router to another at each beat. Its size is bounded, whatever the fleet size.
+ * Message from one router to another at each beat. Its size is bounded for a fleet of any size.
  */
 export interface Heartbeat {
   info: MemberInfo;
@@ -207,8 +207,8 @@
  * ago, and that exchange gave both sides the same information. If two routers would both send at
  * each beat, the one that ticks later skips its heartbeat, which saves half of the traffic.
  *
- * Failures are still detected: a member that was not heard from for a part of a beat gets a
- * heartbeat.
+ * Failures are still detected: a member from which nothing was received for a part of
+ * a beat gets a heartbeat.
  */
 export function recentlyExchanged(
   state: MembershipState,
--- a/packages/core/src/runtime/prepaid/lenders.ts
+++ b/packages/core/src/runtime/prepaid/lenders.ts
@@ -7,8 +7,8 @@
 import { hash32, rendezvousRank } from '../../utils/hash.js';
 
 /**
- * Maximum number of instances that all hold tokens from the store. So few instances hardly cause
- * any update conflicts.
+ * Maximum number of instances that all hold tokens from the store. So few instances rarely cause
+ * update conflicts.
  */
 const MAX_WITHOUT_LENDERS = 10;
 /** Lenders in a data centre. With two, the other one serves the accounts of a failed lender. */
--- a/packages/core/src/runtime/prepaid/prepaidHolder.ts
+++ b/packages/core/src/runtime/prepaid/prepaidHolder.ts
@@ -45,9 +45,9 @@
 }
 
 /**
- * Expected behaviour of callers that send requests to an instance that has not seen their account
- * before. At one of few instances, they mostly stay. At one of many, they were more likely refused
- * by another instance, and move on.
+ * Expected behaviour of callers whose account an instance has not seen before. Where few instances
+ * serve the callers, they mostly stay. Where many do, they were probably refused by another
+ * instance and move on.
  */
 export type CallerAffinity = 'stay' | 'pass-by';
 
@@ -56,7 +56,7 @@
   /** Unspent tokens that may be spent, including reserved tokens. */
   held: Tokens;
   reserved: Tokens;
-  /** Tokens spent and not included in any report that was applied. */
+  /** Spent tokens that no applied report includes. */
   unreported: Tokens;
   /** Largest amount that a reservation was refused for since the last report. */
   shortfall: Tokens;
@@ -91,7 +91,7 @@
   minimum: Tokens;
 }
 
-/** Relative change of a rate that causes a report by itself. */
+/** Relative change of a rate that causes a report even if nothing else has changed. */
 const MIN_RATE_CHANGE = 0.25;
 /** Relative deviation of the free tokens from their target that does not cause a report. */
 const TARGET_TOLERANCE = 0.1;
@@ -170,7 +170,7 @@
     return unreported || this.#pending !== undefined;
   }
 
-  /** Accounts that this process has seen requests for or held tokens of. */
+  /** Accounts that this process tracks, including all that it has built a report for. */
   get accounts(): AccountId[] {
     return [...this.#holdings.keys()];
   }
@@ -226,7 +226,7 @@
 
   /**
    * Keeps tokens for a waiting request until {@link endWait}. Without this, a report that is built
-   * after the tokens arrive and before the request's next try would return all tokens above the
+   * after the tokens arrive and before the request's next attempt would return all tokens above the
    * target, and the request would be refused.
    */
   beginWait(account: AccountId, amount: Tokens): void {
@@ -278,9 +278,9 @@
   }
 
   /**
-   * Starts a new incarnation without tokens, after the page has moved the tokens to in doubt
-   * because this instance did not report for long. Tokens that requests in progress use are charged
-   * already.
+   * Starts a new incarnation without tokens. Called after the page has moved the tokens of this
+   * instance to `inDoubt` because it had not reported for a long time. Tokens that requests in
+   * progress use are already charged.
    */
   startNewIncarnation(): void {
     this.#incarnationNumber += 1;
--- a/packages/core/src/runtime/prepaid/prepaidSizing.ts
+++ b/packages/core/src/runtime/prepaid/prepaidSizing.ts
@@ -38,8 +38,8 @@
   unallocatedSeconds?: number;
   /**
    * Safety margin in standard deviations of the demand during `rideThroughSeconds`. An account with
-   * one request per second at an instance may need twice its mean; with ten per second it hardly
-   * ever does.
+   * one request per second at an instance may need twice its mean; with ten per second it
+   * rarely does.
    */
   deviationFactor: number;
   /** Fraction of the allocatable tokens that is split evenly before any demand is known. */
@@ -68,7 +68,7 @@
 const MAX_UNALLOCATED_FRACTION = 0.5;
 /**
  * Typical requests per instance below which nothing is allocated, because so few tokens would
- * hardly cover any request.
+ * cover almost no request.
  */
 const MIN_USEFUL_REQUESTS = 0.1;
 /**
--- a/packages/core/src/runtime/routing/attemptPlan.ts
+++ b/packages/core/src/runtime/routing/attemptPlan.ts
@@ -16,9 +16,7 @@
 /** Number of attempts of a request and the timeout of each. */
 export interface AttemptPlan {
   attempts: number;
-  /**
-   * Timeout of each attempt, in milliseconds; the last attempt may use all the time that is left.
-   */
+  /** Timeout of each attempt, in milliseconds; an attempt also ends at the deadline. */
   attemptTimeoutMs: number;
 }
 
@@ -45,8 +43,8 @@
 const MAX_UNACCEPTED_ATTEMPTS = 3;
 
 /**
- * Plans the attempts of a request. A non-idempotent request gets one attempt with all the time
- * left.
+ * Plans the attempts of a request. A non-idempotent request gets one attempt that a server may run,
+ * with all the time left.
  *
  * @example
  * const plan = resolveAttemptPlan({ idempotent: true, deadline, maxAttempts: 3 }, now);
@@ -55,10 +53,10 @@
   const remaining = Math.max(0, request.deadline - now);
   if (!request.idempotent) return { attempts: 1, attemptTimeoutMs: remaining };
   const typical = Math.max(request.typicalMs ?? 0, MIN_ATTEMPT_MS);
-  const fitting = Math.max(1, Math.floor(remaining / typical));
-  const attempts = Math.min(request.maxAttempts, fitting);
-  const patient = Math.max(remaining / attempts, Math.min(remaining, TIMEOUT_FACTOR * typical));
-  return { attempts, attemptTimeoutMs: Math.floor(patient) };
+  const attemptsThatFit = Math.max(1, Math.floor(remaining / typical));
+  const attempts = Math.min(request.maxAttempts, attemptsThatFit);
+  const timeoutMs = Math.max(remaining / attempts, Math.min(remaining, TIMEOUT_FACTOR * typical));
+  return { attempts, attemptTimeoutMs: Math.floor(timeoutMs) };
 }
 
 /**
@@ -80,8 +78,8 @@
   if (!request.idempotent && !failure.provablyNotRun) {
     return { type: 'refuse', reason: 'outcome-unknown', run };
   }
-  const most = request.idempotent ? request.plan.attempts : MAX_UNACCEPTED_ATTEMPTS;
+  const maxAttempts = request.idempotent ? request.plan.attempts : MAX_UNACCEPTED_ATTEMPTS;
   if (now >= request.deadline) return { type: 'refuse', reason: 'deadline-passed', run };
-  if (failure.made >= most) return { type: 'refuse', reason: 'backend-failed', run };
+  if (failure.made >= maxAttempts) return { type: 'refuse', reason: 'backend-failed', run };
   return { type: 'retry' };
 }
--- a/packages/core/src/runtime/routing/promptLocations.ts
+++ b/packages/core/src/runtime/routing/promptLocations.ts
@@ -15,8 +15,8 @@
  * Maps each prompt part to the server that processed it last.
  *
  * @example
- * holders.record('91bd3f06', 'i-7f3a91c2');
- * holders.find('91bd3f06'); // 'i-7f3a91c2'
+ * locations.record('91bd3f06', 'i-7f3a91c2');
+ * locations.find('91bd3f06'); // 'i-7f3a91c2'
  */
 export class PromptLocations {
   readonly #servers = new LRUCache<string, ServerId>({ max: MAX_PARTS });
--- a/packages/core/src/runtime/routing/reachability.ts
+++ b/packages/core/src/runtime/routing/reachability.ts
@@ -19,7 +19,7 @@
  * Time to avoid a server after the first silence, in milliseconds; doubles with each further one.
  */
 const MIN_AVOID_MS = 800;
-/** Maximum time, in milliseconds; the end of a partition is detected within it. */
+/** Maximum of this time, in milliseconds; the end of a partition is detected within it. */
 const MAX_AVOID_MS = 3_200;
 /** Milliseconds for which a single request tests whether the server can be reached again. */
 const PROBE_MS = 500;
@@ -39,7 +39,7 @@
  * reach = recordSilence(reach, now);
  */
 export function recordSilence(state: Reachability, now: EpochMs): Reachability {
-  // concurrent requests observe the same silence, which counts only once.
+  // Concurrent requests observe the same silence, which counts only once.
   if (!isReachable(state, now) && state.silences > 0) return state;
   const silences = state.silences + 1;
   const pause = Math.min(MAX_AVOID_MS, MIN_AVOID_MS * 2 ** (silences - 1));
--- a/packages/core/src/runtime/routing/serverNotices.ts
+++ b/packages/core/src/runtime/routing/serverNotices.ts
@@ -47,7 +47,7 @@
 const MAX_PAUSE_JITTER_MS = 1_000;
 /** Milliseconds for which a single request tests whether a pause has really ended. */
 const PAUSE_TEST_MS = 500;
-/** Milliseconds after the end of a pause from which an instance sends without a test request. */
+/** Milliseconds after the end of a pause after which an instance sends no test request. */
 const PAUSE_TESTED_MS = 2_000;
 
 interface KnownServer {
@@ -58,7 +58,7 @@
 
 interface Pause {
   until: EpochMs;
-  /** After the pause: time until which a single request tests whether it has really ended. */
+  /** Time until which a single request, sent after the pause, tests whether it has really ended. */
   testedUntil: EpochMs;
 }
 
@@ -85,8 +85,12 @@
    * Records what an answer reports about leaving and pauses. Rate limits are recorded separately,
    * by {@link ServerRateLimits.record}.
    */
-  record(start: ServerIncarnation, { leaving, rest }: ServerNotice, now: EpochMs): NoticeChange[] {
-    const server = this.#getOrCreate(start);
+  record(
+    incarnation: ServerIncarnation,
+    { leaving, rest }: ServerNotice,
+    now: EpochMs,
+  ): NoticeChange[] {
+    const server = this.#getOrCreate(incarnation);
     const changes: NoticeChange[] = [];
     if (leaving && server.leavingSince === undefined) {
       server.leavingSince = now;
@@ -104,26 +108,29 @@
   }
 
   /** Whether a server reported that it is leaving. */
-  isLeaving(start: ServerIncarnation): boolean {
-    return this.#find(start)?.leavingSince !== undefined;
+  isLeaving(incarnation: ServerIncarnation): boolean {
+    return this.#find(incarnation)?.leavingSince !== undefined;
   }
 
   /** Remaining milliseconds of a server's pause; 0 if there is none. */
-  restMs(start: ServerIncarnation, now: EpochMs): number {
-    const rest = this.#find(start)?.rest;
+  restMs(incarnation: ServerIncarnation, now: EpochMs): number {
+    const rest = this.#find(incarnation)?.rest;
     return rest ? Math.max(0, rest.until - now, rest.testedUntil - now) : 0;
   }
 
   /** When this instance may send the next request to a server; never to one that is leaving. */
-  nextAt(start: ServerIncarnation, now: EpochMs): EpochMs {
-    if (this.isLeaving(start)) return Infinity;
-    return Math.max(now + this.restMs(start, now), this.rateLimits.nextAt(start.id, now));
+  nextAt(incarnation: ServerIncarnation, now: EpochMs): EpochMs {
+    if (this.isLeaving(incarnation)) return Infinity;
+    return Math.max(
+      now + this.restMs(incarnation, now),
+      this.rateLimits.nextAt(incarnation.id, now),
+    );
   }
 
   /** Records anything sent to a server: requests, retries and status probes. */
-  recordSent(start: ServerIncarnation, now: EpochMs): void {
-    this.rateLimits.take(start.id, now);
-    const server = this.#find(start);
+  recordSent(incarnation: ServerIncarnation, now: EpochMs): void {
+    this.rateLimits.take(incarnation.id, now);
+    const server = this.#find(incarnation);
     if (!server?.rest) return;
     // an instance that returns late needs no test request: others have tested the server already.
     const isLongOver = now - server.rest.until > PAUSE_TESTED_MS;
@@ -132,19 +139,19 @@
   }
 
   /** Status of a server; undefined if it has reported nothing. */
-  view(start: ServerIncarnation, now: EpochMs): NoticeView | undefined {
-    const server = this.#find(start);
-    const limit = this.rateLimits.view(start.id, now);
+  view(incarnation: ServerIncarnation, now: EpochMs): NoticeView | undefined {
+    const server = this.#find(incarnation);
+    const limit = this.rateLimits.view(incarnation.id, now);
     const { leavingSince, rest } = server ?? {};
     if (!limit && leavingSince === undefined && !rest) return undefined;
     return {
       ...limit,
       leavingMs: leavingSince === undefined ? undefined : Math.round(now - leavingSince),
-      restMs: rest && Math.round(this.restMs(start, now)),
+      restMs: rest && Math.round(this.restMs(incarnation, now)),
     };
   }
 
-  /** Number of servers that reported that they are leaving, and that requested a pause. */
+  /** Number of servers that reported that they are leaving, and of servers in a requested pause. */
   counts(now: EpochMs): { leaving: number; resting: number } {
     const servers = [...this.#servers.values()];
     return {
@@ -166,8 +173,8 @@
   #recordPause(server: KnownServer, ms: number, now: EpochMs): boolean {
     if (ms <= 0) return false;
     const bounded = Math.min(ms, MAX_PAUSE_MS);
-    const spreadMs = Math.min(PAUSE_JITTER * bounded, MAX_PAUSE_JITTER_MS);
-    const until = now + bounded + spreadMs * this.#random();
+    const maxJitterMs = Math.min(PAUSE_JITTER * bounded, MAX_PAUSE_JITTER_MS);
+    const until = now + bounded + maxJitterMs * this.#random();
     const before = server.rest?.until ?? -Infinity;
     server.rest = { until: Math.max(before, until), testedUntil: -Infinity };
     return before <= now;
@@ -175,22 +182,22 @@
 
   #find({ id, bornAt }: ServerIncarnation): KnownServer | undefined {
     const known = this.#servers.get(id);
-    return known && isSameStart(known.bornAt, bornAt) ? known : undefined;
+    return known && canBeSameStart(known.bornAt, bornAt) ? known : undefined;
   }
 
-  #getOrCreate(start: ServerIncarnation): KnownServer {
-    const found = this.#find(start);
+  #getOrCreate(incarnation: ServerIncarnation): KnownServer {
+    const found = this.#find(incarnation);
     if (found) return found;
-    const created = { bornAt: start.bornAt, leavingSince: undefined, rest: undefined };
-    const known = this.#servers.get(start.id);
+    const created = { bornAt: incarnation.bornAt, leavingSince: undefined, rest: undefined };
+    const known = this.#servers.get(incarnation.id);
     // a late answer of an earlier incarnation does not apply to the current one.
-    const isLate = known !== undefined && (start.bornAt ?? 0) < (known.bornAt ?? 0);
-    if (!isLate) this.#servers.set(start.id, created);
+    const isLate = known !== undefined && (incarnation.bornAt ?? 0) < (known.bornAt ?? 0);
+    if (!isLate) this.#servers.set(incarnation.id, created);
     return created;
   }
 }
 
 /** Whether two start times can belong to the same incarnation; an undefined one matches any. */
-function isSameStart(a: number | undefined, b: number | undefined): boolean {
+function canBeSameStart(a: number | undefined, b: number | undefined): boolean {
   return a === undefined || b === undefined || a === b;
 }
--- a/packages/core/src/runtime/routing/serverPool.ts
+++ b/packages/core/src/runtime/routing/serverPool.ts
@@ -238,9 +238,11 @@
    * Milliseconds until the first requested pause ends; undefined if no server has requested one.
    */
   pauseEndsInMs(now: EpochMs): number | undefined {
-    const rests = this.#stayingEntries(now).map(({ server }) => this.#notices.restMs(server, now));
-    const resting = rests.filter((restMs) => restMs > 0);
-    return resting.length === 0 ? undefined : Math.min(...resting);
+    const pausesMs = this.#stayingEntries(now).map(({ server }) =>
+      this.#notices.restMs(server, now),
+    );
+    const activeMs = pausesMs.filter((restMs) => restMs > 0);
+    return activeMs.length === 0 ? undefined : Math.min(...activeMs);
   }
 
   /** Number of slots of all open servers. */
--- a/packages/core/src/runtime/spender.ts
+++ b/packages/core/src/runtime/spender.ts
@@ -39,8 +39,8 @@
 }
 
 /**
- * Why a reservation was refused: `no-tokens` if this holder has too few tokens at the moment, the
- * other values by the limits of class and budget.
+ * Why a reservation was refused: with `no-tokens` this holder has too few tokens at the moment; the
+ * other values name the limit of the class or of the budget that the request would exceed.
  */
 export type ShortageReason = 'no-tokens' | 'class-share' | 'reserved-for-first' | 'budget-spent';
 
@@ -199,9 +199,9 @@
     return this.#reserved(account);
   }
 
-  /** Free tokens above the given level, which can be returned. */
-  idle(account: AccountId, level: Tokens): Tokens {
-    return Math.max(0, this.free(account) - level);
+  /** Free tokens above a target, which can be returned. */
+  idle(account: AccountId, target: Tokens): Tokens {
+    return Math.max(0, this.free(account) - target);
   }
 
   #shortageReason(request: SpenderRequest): ShortageReason | undefined {
--- a/packages/core/src/types/declaration.ts
+++ b/packages/core/src/types/declaration.ts
@@ -38,7 +38,7 @@
   maxOutputTokens: Tokens;
 }
 
-/** A client account. Its budget lives in the ledger. */
+/** A client account. Its budget is stored in the ledger. */
 export interface ClientAccountDeclaration {
   kind: 'ClientAccount';
   name: AccountId;
--- a/packages/gateway/src/node/arrivalWatch.ts
+++ b/packages/gateway/src/node/arrivalWatch.ts
@@ -16,8 +16,8 @@
   /** Earliest time at which it can have been opened. */
   earliest: number;
   /**
-   * The same, assuming that no other connection was waiting to be accepted before it. Whether one was
-   * cannot be determined.
+   * The same, on the assumption that no other connection was waiting to be accepted before it, which
+   * cannot be verified.
    */
   ifNoneWaited: number;
 }
--- a/packages/gateway/src/node/callerAnswer.ts
+++ b/packages/gateway/src/node/callerAnswer.ts
@@ -71,7 +71,7 @@
     this.#res.flushHeaders();
   }
 
-  /** Forwards complete events. Returns false if the caller has to drain its buffer first. */
+  /** Forwards complete events. Returns false if the write buffer is full; see {@link onDrain}. */
   write(bytes: Buffer, events: number, now: number): boolean {
     if (this.#callerGone) return true;
     this.#events += events;
@@ -79,7 +79,7 @@
     return this.#res.write(bytes);
   }
 
-  /** Calls `listener` once the caller can take more data. */
+  /** Calls `listener` once the write buffer is empty and more data can be written. */
   onDrain(listener: () => void): void {
     this.#res.once('drain', listener);
   }
--- a/packages/gateway/src/node/configurationWatch.ts
+++ b/packages/gateway/src/node/configurationWatch.ts
@@ -33,13 +33,13 @@
   readonly #context: GatewayContext;
   readonly #listeners: ((table: RouteTable) => void)[] = [];
   #table: RouteTable | undefined;
-  readonly #contact: StoreReachability;
+  readonly #reachability: StoreReachability;
   #subscription: Subscription | undefined;
 
   constructor(context: GatewayContext) {
     super();
     this.#context = context;
-    this.#contact = new StoreReachability(context, this.name);
+    this.#reachability = new StoreReachability(context, this.name);
   }
 
   /** Route table of the configuration in force; undefined before the first one was read. */
@@ -50,12 +50,12 @@
   /** Whether contact to the store is recent enough that a newer version would be known. */
   isFresh(now: number): boolean {
     const { configurationIdleMs } = this.#context.settings.store;
-    return this.#contact.ageMs(now) < configurationIdleMs + FRESH_MARGIN_MS;
+    return this.#reachability.ageMs(now) < configurationIdleMs + FRESH_MARGIN_MS;
   }
 
   /** Milliseconds since the last contact to the store. */
   ageMs(now: number): number {
-    return this.#contact.ageMs(now);
+    return this.#reachability.ageMs(now);
   }
 
   /** Calls `listener` with the current configuration, if there is one, and each new one. */
@@ -77,10 +77,10 @@
         }
       },
       onHeard: () => {
-        this.#contact.recordAnswer();
+        this.#reachability.recordAnswer();
       },
       onBreak: (reason) => {
-        this.#contact.recordFailure(reason);
+        this.#reachability.recordFailure(reason);
       },
     });
   }
--- a/packages/gateway/src/node/createGateway.ts
+++ b/packages/gateway/src/node/createGateway.ts
@@ -100,10 +100,10 @@
   const instances = new InstanceDirectory(context);
   const peers = new MeshClient();
   const incarnation = randomUUID();
-  const news = new GossipService(context, incarnation, new MeshGossipCalls(peers));
+  const gossip = new GossipService(context, incarnation, new MeshGossipCalls(peers));
   const crashCheck = new ConnectionCheck(agent);
   const causes = new StoredCrashCauses(context);
-  const quarantine = new SharedQuarantine(context, news, causes);
+  const quarantine = new SharedQuarantine(context, gossip, causes);
   const lanes = new BackendLanes(context, crashCheck, quarantine);
   const prepaid = new PrepaidService(context, incarnation, new MeshLoanCalls(peers));
   kernel
@@ -111,12 +111,12 @@
     .register(new ServerDirectory(context, health))
     .register(lanes)
     .register(instances)
-    .register(news)
+    .register(gossip)
     .register(causes);
   if (settings.listen.mesh) {
     const mesh = new MeshServer(settings.listen.mesh);
     mesh.handle('borrow', async (req) => Result.ok(await prepaid.lend(req)));
-    mesh.handle('exchangeNews', (message) => Result.ok(news.handleMessage(message)));
+    mesh.handle('exchangeNews', (message) => Result.ok(gossip.handleMessage(message)));
     kernel.register(mesh);
   }
   kernel.register(prepaid).register(entry).register(new StatusService(context));
--- a/packages/gateway/src/node/gossipService.ts
+++ b/packages/gateway/src/node/gossipService.ts
@@ -48,8 +48,8 @@
  * Gossip service. Registered as `news`.
  *
  * @example
- * gossip.onFact(({ news, at }) => take(news, at));
- * news.publish({ type: 'crashed', server, inFlight });
+ * gossip.onFact(({ news, at }) => apply(news, at));
+ * gossip.publish({ type: 'crashed', server, inFlight });
  */
 export class GossipService extends Service {
   override readonly name = 'news';
@@ -127,7 +127,7 @@
     const outcomes = await Promise.all(
       this.#choose(this.#others).map((peer) => this.#exchange(peer)),
     );
-    this.#isCaughtUp ||= outcomes.includes('heard');
+    this.#isCaughtUp ||= outcomes.includes('answered');
   }
 
   #startGossip(): void {
@@ -178,7 +178,7 @@
     this.#scheduleSync(isQuiet ? Math.min(MAX_SYNC_MS, quietMs) : MIN_SYNC_MS);
   }
 
-  async #exchange(instance: FleetInstance): Promise<'heard' | 'silent'> {
+  async #exchange(instance: FleetInstance): Promise<'answered' | 'silent'> {
     const peer = this.#peerOf(instance.name);
     const message = this.#messageFor(peer.known);
     const answer = await this.#calls.exchange(instance, message);
@@ -190,7 +190,7 @@
     peer.reachability.recordAnswer();
     peer.known = answer.value.known;
     this.#applyItems(answer.value.items);
-    return 'heard';
+    return 'answered';
   }
 
   #messageFor(known: VersionVector): GossipMessage {
--- a/packages/gateway/src/node/httpHealthCheck.ts
+++ b/packages/gateway/src/node/httpHealthCheck.ts
@@ -16,7 +16,7 @@
  * Sends health checks over the connections that requests use as well.
  *
  * @example
- * const word = await new HttpHealthCheck(context, configuration, agent).ask('p1', server);
+ * const result = await new HttpHealthCheck(context, configuration, agent).probe('p1', server);
  */
 export class HttpHealthCheck extends HealthCheck {
   readonly #context: GatewayContext;
@@ -31,15 +31,15 @@
   }
 
   override async probe(id: ServerId, { service, url, bornAt }: ListedServer): Promise<ProbeResult> {
-    const start = { id, bornAt };
+    const incarnation = { id, bornAt };
     const target = this.#configuration.table?.service(service)?.healthPath;
     if (target === undefined) return 'unknown';
     const { clock, dialects, notices, settings } = this.#context;
     const now = clock.now();
-    if (notices.isLeaving(start)) return 'leaving';
+    if (notices.isLeaving(incarnation)) return 'leaving';
     // a health check counts towards the rate limit of the server, as a request does.
-    if (notices.nextAt(start, now) > now) return 'unknown';
-    notices.recordSent(start, now);
+    if (notices.nextAt(incarnation, now) > now) return 'unknown';
+    notices.recordSent(incarnation, now);
     const opened = await openAttempt({
       url,
       method: 'GET',
@@ -53,8 +53,8 @@
     });
     if (opened.isErr) return opened.error.reason === 'refused' ? 'gone' : 'unknown';
     opened.value.body.resume();
-    const word = dialects.servers.judgeHealth(id, opened.value.head);
-    if (word !== 'gone') recordNotice(this.#context, start, opened.value.head);
-    return word;
+    const result = dialects.servers.judgeHealth(id, opened.value.head);
+    if (result !== 'gone') recordNotice(this.#context, incarnation, opened.value.head);
+    return result;
   }
 }
--- a/packages/gateway/src/node/loanRequestHandler.ts
+++ b/packages/gateway/src/node/loanRequestHandler.ts
@@ -53,17 +53,19 @@
    */
   async lend(request: LoanRequest, tokens: StoreTokens): Promise<LoanAnswer> {
     const { report, urgent, lender } = request;
-    const { incarnation: life } = this.book;
-    if (lender !== undefined && lender !== life) return { type: 'forgotten', lender: life };
-    const end = this.book.applyReport(report, urgent, this.#now());
+    const { incarnation: lenderIncarnation } = this.book;
+    if (lender !== undefined && lender !== lenderIncarnation)
+      return { type: 'forgotten', lender: lenderIncarnation };
+    const outcome = this.book.applyReport(report, urgent, this.#now());
     this.#logChargedLoans();
-    if (end === 'forgotten') return { type: 'forgotten', lender: life };
+    if (outcome === 'forgotten') return { type: 'forgotten', lender: lenderIncarnation };
     if (request.typicalRequest > 0) this.#options.holder.observeSize(request.typicalRequest);
     const shortfalls = this.book.shortfalls(report, urgent);
     await fetchShortfalls(shortfalls, tokens);
-    if (this.book.incarnation !== life) return { type: 'forgotten', lender: this.book.incarnation };
+    if (this.book.incarnation !== lenderIncarnation)
+      return { type: 'forgotten', lender: this.book.incarnation };
     this.book.lendShortfalls(report, shortfalls);
-    return this.#answer(request, life, tokens);
+    return this.#answer(request, lenderIncarnation, tokens);
   }
 
   /**
--- a/packages/gateway/src/node/prepaidGrants.ts
+++ b/packages/gateway/src/node/prepaidGrants.ts
@@ -42,7 +42,7 @@
 const MAX_GROUP_SIZE = 10;
 /**
  * Maximum age of the shared object in milliseconds. After that it is read again to see new members, because the
- * retries of the fleet are divided among all members.
+ * fleet's retry allowance is divided among all members.
  */
 const BUDGETS_MAX_AGE_MS = 4_000;
 /**
@@ -94,7 +94,7 @@
     return this.#budgets.takeConflicts();
   }
 
-  /** Inputs for sizing a report that the page does not contain. */
+  /** Inputs for sizing a report, as far as the group's page does not contain them. */
   outlook(limits: PrepaidLimits): Map<AccountId, PrepaidOutlook> {
     return prepaidOutlook(this.known, limits);
   }
--- a/packages/gateway/src/node/prepaidService.ts
+++ b/packages/gateway/src/node/prepaidService.ts
@@ -38,7 +38,7 @@
 
 /**
  * Number of reports that an idle instance sends in the time after which a silent instance counts as lost. With
- * five, some may be lost or late. With a time of ten minutes this is one write every two minutes, a
+ * five, some may be lost or late. If that time is ten minutes, this is one write every two minutes, a
  * negligible cost.
  */
 const REPORTS_WITHIN_SILENCE = 5;
@@ -52,7 +52,7 @@
 const ROLE_CHECK_MS = 5_000;
 /** Seconds of the borrowers' demand that a lender holds in reserve for loans. */
 const LENDING_RESERVE_SECONDS = 1;
-/** Seconds until the store knows a borrower's spending: one report to the lender and one of the lender. */
+/** Seconds until the store knows a borrower's spending: one report to the lender and one by the lender. */
 const LOAN_REPORT_SECONDS = 5;
 /**
  * Fraction of the available tokens that lenders hold before any demand is known, so that they can lend
@@ -103,8 +103,8 @@
     const { rideThroughSeconds } = context.settings.prepaid;
     const sizing = new PrepaidSizing({ rideThroughSeconds });
     const holder = this.#createHolder(incarnation, sizing, 'stay');
-    const keptSeconds = rideThroughSeconds + LOAN_REPORT_SECONDS;
-    const loanSizing = new PrepaidSizing({ rideThroughSeconds, unallocatedSeconds: keptSeconds });
+    const unallocatedSeconds = rideThroughSeconds + LOAN_REPORT_SECONDS;
+    const loanSizing = new PrepaidSizing({ rideThroughSeconds, unallocatedSeconds });
     this.#lenders = new Lenders({
       context,
       calls,
@@ -282,7 +282,11 @@
     }
   }
 
-  #createHolder(process: string, sizing: PrepaidSizing, newcomers: CallerAffinity): PrepaidHolder {
+  #createHolder(
+    process: string,
+    sizing: PrepaidSizing,
+    callerAffinity: CallerAffinity,
+  ): PrepaidHolder {
     const { instance, prepaid } = this.#context.settings;
     return new PrepaidHolder({
       instance,
@@ -293,7 +297,7 @@
         evenFraction: INITIAL_LENDING_SHARE,
       }),
       maxReportIntervalMs: prepaid.silentMs / REPORTS_WITHIN_SILENCE,
-      callerAffinity: newcomers,
+      callerAffinity,
     });
   }
 
--- a/packages/gateway/src/node/requestFlow.ts
+++ b/packages/gateway/src/node/requestFlow.ts
@@ -2,9 +2,9 @@
  * Runs one request after its body was read: reserve tokens, choose a server, send, check the
  * response, forward it, settle the reservation.
  *
- * Tokens are reserved before anything is sent, so the budget holds whatever the servers do. The
- * head of a response is checked before any byte of it is forwarded, so a caller never gets the
- * response to another request.
+ * Tokens are reserved before anything is sent, so the budget is never exceeded, regardless of what
+ * the servers do. The head of a response is checked before any byte of it is forwarded, so a caller
+ * never gets the response to another request.
  */
 
 import type { PrepaidReservation, Refusal } from '@flamingocourse/core';
--- a/packages/gateway/src/node/serverDirectory.ts
+++ b/packages/gateway/src/node/serverDirectory.ts
@@ -62,7 +62,7 @@
   readonly #kept = new KeptServers();
   readonly #health: HealthCheck;
   readonly #listeners: ((servers: DirectoryServer[]) => void)[] = [];
-  readonly #contact: StoreReachability;
+  readonly #reachability: StoreReachability;
   #subscription: Subscription | undefined;
   #timer: NodeJS.Timeout | undefined;
   #graceUntil = -Infinity;
@@ -72,7 +72,7 @@
     super();
     this.#context = context;
     this.#health = health;
-    this.#contact = new StoreReachability(context, this.name);
+    this.#reachability = new StoreReachability(context, this.name);
   }
 
   /** Servers that may get requests, including kept ones. */
@@ -87,7 +87,7 @@
 
   /** Milliseconds since the store last confirmed the list; infinite before the first time. */
   ageMs(now: number): number {
-    return this.#contact.ageMs(now);
+    return this.#reachability.ageMs(now);
   }
 
   /** Returns the state of the list at a time, for the log line of a request to server `id`. */
@@ -113,10 +113,10 @@
         }
       },
       onHeard: () => {
-        this.#contact.recordAnswer({ servers: this.#servers.size });
+        this.#reachability.recordAnswer({ servers: this.#servers.size });
       },
       onBreak: (reason) => {
-        this.#contact.recordFailure(reason);
+        this.#reachability.recordFailure(reason);
       },
     });
   }
@@ -128,7 +128,7 @@
 
   #onEvent(event: WatchEvent<ListedServer>): void {
     const now = this.#context.clock.now();
-    const silentMs = this.#contact.ageMs(now);
+    const silentMs = this.#reachability.ageMs(now);
     if (silentMs > EXPIRY_OUTAGE_MS) {
       this.#graceUntil = now + this.#context.settings.servers.lapseGraceMs;
     }
@@ -174,7 +174,7 @@
     this.#context.log.write('server-kept', {
       server: id,
       service: server.service,
-      silentMs: Math.round(this.#contact.ageMs(now)),
+      silentMs: Math.round(this.#reachability.ageMs(now)),
       forMs: Math.round(this.#graceUntil - now),
     });
   }
@@ -192,9 +192,9 @@
     clearTimeout(this.#timer);
     for (const id of this.#kept.takeDueProbes(now)) void this.#probe(id);
     // while the store is unreachable again, a missing entry is no evidence that a server is gone.
-    const over = this.#contact.isUnreachable ? [] : this.#kept.expired(now);
-    for (const id of over) this.#drop(id, 'time is over');
-    if (over.length > 0) this.#publish('lapsed');
+    const expired = this.#reachability.isUnreachable ? [] : this.#kept.expired(now);
+    for (const id of expired) this.#drop(id, 'time is over');
+    if (expired.length > 0) this.#publish('lapsed');
     if (this.#kept.size === 0) return;
     const dueMs = this.#kept.nextAt - now;
     const next = (): void => {
@@ -211,12 +211,12 @@
   async #probe(id: string): Promise<void> {
     const server = this.#servers.get(id);
     if (!server) return;
-    const word = await this.#health.probe(id, server);
+    const result = await this.#health.probe(id, server);
     const now = this.#context.clock.now();
     // the server may have rewritten its entry meanwhile, or restarted under the same id.
     if (!this.#kept.has(id) || this.#servers.get(id) !== server) return;
-    if (!this.#kept.recordProbe(id, word, now)) {
-      this.#drop(id, word === 'gone' ? 'it is gone' : 'it is leaving');
+    if (!this.#kept.recordProbe(id, result, now)) {
+      this.#drop(id, result === 'gone' ? 'it is gone' : 'it is leaving');
       this.#publish('asked');
     }
     this.#checkKept(now);
--- a/packages/gateway/src/node/storeReachability.ts
+++ b/packages/gateway/src/node/storeReachability.ts
@@ -4,7 +4,7 @@
 import { ReachabilityTracker } from './reachabilityTracker.js';
 
 /**
- * Whether the store answers.
+ * Reachability of the store for one service.
  *
  * @example
  * const reachability = new StoreReachability(context, 'directory');
--- a/packages/gateway/src/node/storedCrashCauses.ts
+++ b/packages/gateway/src/node/storedCrashCauses.ts
@@ -72,7 +72,7 @@
     void this.#create(cause).finally(() => this.#creating.delete(fingerprint));
   }
 
-  /** Removes a request that turned out not to be a cause. */
+  /** Removes the stored cause of a request that was shown not to be one. */
   remove(fingerprint: Fingerprint): void {
     const version = this.#versions.get(fingerprint);
     if (version === undefined) return;
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Any instance may do this, and several may at once: a removal names the version that was read, so it
-   * cannot remove a newer object.
+   * Removes the oldest causes above the maximum. Any instance may do this, also several at once: a removal
+   * names the version that was read, so it cannot remove a newer object.
    */
   async #removeOldest(items: readonly VersionedObject<ProvenCrashCause>[]): Promise<void> {
     const byAge = items.toSorted((a, b) => Number(a.version) - Number(b.version));
--- a/packages/gateway/src/node/storedObject.ts
+++ b/packages/gateway/src/node/storedObject.ts
@@ -16,7 +16,7 @@
 /** Outcome of a change; `busy` if every attempt conflicted with another writer. */
 export type ChangeOutcome = 'written' | 'unchanged' | 'busy';
 
-/** Consecutive conflicts after which a change gives up with `busy`. */
+/** Consecutive conflicts after which a change fails with `busy`. */
 const MAX_CONFLICTS = 8;
 
 /**
--- a/packages/gateway/src/runtime/retryPolicy.ts
+++ b/packages/gateway/src/runtime/retryPolicy.ts
@@ -29,7 +29,7 @@
 }
 
 /** Maximum attempts of one request that no server ran; after these it is refused. */
-const MAX_UNRUN = 4;
+const MAX_ATTEMPTS_NOT_RUN = 4;
 /** Milliseconds below which a retry cannot get a response before the deadline. */
 const MIN_LEFT_MS = 20;
 
@@ -42,12 +42,12 @@
  */
 export function mayRetry(failed: FailedAttempt, history: AttemptHistory): boolean {
   const { repetition, maxAttempts, mayHaveRun, made, leftMs } = history;
-  if (leftMs < MIN_LEFT_MS || made >= MAX_UNRUN + maxAttempts) return false;
+  if (leftMs < MIN_LEFT_MS || made >= MAX_ATTEMPTS_NOT_RUN + maxAttempts) return false;
   switch (failed) {
     case 'not-sent':
     case 'refused':
     case 'other-server':
-      return made - mayHaveRun < MAX_UNRUN && mayHaveRun < Math.max(1, maxAttempts);
+      return made - mayHaveRun < MAX_ATTEMPTS_NOT_RUN && mayHaveRun < Math.max(1, maxAttempts);
     case 'unknown':
     case 'server-error':
       return isRepeatable(repetition) && mayHaveRun < maxAttempts;
--- a/packages/gateway/src/types/gossipCalls.ts
+++ b/packages/gateway/src/types/gossipCalls.ts
@@ -1,9 +1,9 @@
-/** Interface for exchanging news with other instances. */
+/** Interface for exchanging gossip messages with other instances. */
 
 import type { FleetInstance, GossipMessage } from '@flamingocourse/core';
 import type { Result } from 'true-myth';
 
-/** Sends news to another instance and returns its answer. */
+/** Sends a gossip message to another instance and returns its answer. */
 export abstract class GossipCalls {
   /**
    * Never rejects and returns within a bounded time. The error says why there is no answer; the peer may
--- a/packages/router/src/node/backends/quarantineRegister.ts
+++ b/packages/router/src/node/backends/quarantineRegister.ts
@@ -18,7 +18,7 @@
   refusedForMs,
 } from '@flamingocourse/core';
 
-/** Most fingerprints in the log line of a crash. */
+/** Maximum number of fingerprints in the log line of a crash. */
 const MAX_LOGGED_FINGERPRINTS = 32;
 
 /** Options of {@link QuarantineRegister}. */
--- a/packages/router/src/node/backends/serviceLane.ts
+++ b/packages/router/src/node/backends/serviceLane.ts
@@ -39,7 +39,10 @@
 import { InFlightRequests } from './inFlightRequests.js';
 import { LaneStatistics } from './laneLearning.js';
 
-/** Most requests that wait outside the queue because no server that they may use has room. */
+/**
+ * Maximum number of requests that wait outside the queue because no server that they may use has
+ * room.
+ */
 const MAX_PARKED = 256;
 
 /** Sort order of waiting requests; lower values come first. */
--- a/packages/router/src/node/money/claimStore.ts
+++ b/packages/router/src/node/money/claimStore.ts
@@ -16,15 +16,15 @@
 import { Result } from 'true-myth';
 import { GroupWriter } from './groupWriter.js';
 
-/** Most claims on one page, about 0.8 MB. The platform accepts values up to 1 MB. */
+/** Maximum number of claims on one page, about 0.8 MB. The platform accepts values up to 1 MB. */
 const MAX_CLAIMS_PER_PAGE = 4_000;
 
 /** Time in milliseconds for which a claim is stored. docs/CALLERS.md promises it to callers. */
 export const CLAIM_LIFETIME_MS = 15 * 60 * 1_000;
 
 /**
- * Most releases that wait to be written. Beyond this the oldest is dropped, and its claim stays
- * until the router that made it ends.
+ * Maximum number of releases that wait to be written. Above it the oldest is dropped, and its claim
+ * stays until the router that made it ends.
  */
 const MAX_UNRELEASED = 4_096;
 
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Releases a claim that a ticket without a bill may have. The release is written now, or at a
-   * later tick while the platform does not answer.
+   * Releases the claim of a ticket that ended without a bill, if it has one. While the platform
+   * does not answer, the release is written at a later tick.
    */
   release(keyDigest: string, bodyDigest: string, ticket: TicketId): void {
     const name = `${keyDigest} ${ticketName(ticket)}`;
--- a/packages/router/src/node/money/groupWriter.ts
+++ b/packages/router/src/node/money/groupWriter.ts
@@ -15,10 +15,10 @@
 import { Result } from 'true-myth';
 import { delay } from './timing.js';
 
-/** Most writes of one batch. A conflict means that another router wrote in between. */
+/** Maximum attempts to write one batch. A conflict means that another router wrote in between. */
 const MAX_ATTEMPTS = 8;
 
-/** Most changes that wait for a write. */
+/** Maximum number of changes that wait for a write. */
 const MAX_QUEUE = 2_000;
 
 /** Delay after a conflict in milliseconds, multiplied by the number of failed retries. */
--- a/packages/router/src/node/money/holderSession.ts
+++ b/packages/router/src/node/money/holderSession.ts
@@ -31,7 +31,7 @@
 /** Multiple of the target above which the excess of a slice is returned to the pool. */
 const RETURN_ABOVE_FACTOR = 2;
 
-/** Longest wait for a line to be kept, in milliseconds. After it the outcome counts as unknown. */
+/** Timeout for a line to be kept, in milliseconds. After it the outcome counts as unknown. */
 const RECORD_TIMEOUT_MS = 5_000;
 
 /**
@@ -173,8 +173,8 @@
   }
 
   /**
-   * Returns all tokens and closes the holder. Leaves it to be sealed by a peer while requests still
-   * have reservations or while the witness still stores lines.
+   * Returns all tokens and closes the holder. If requests still have reservations or the witness
+   * still stores lines, the holder stays open, and a peer seals it later.
    */
   async close(witness: WitnessStore): Promise<void> {
     const { writer } = this.#options;
--- a/packages/router/src/node/money/ledgerPlan.ts
+++ b/packages/router/src/node/money/ledgerPlan.ts
@@ -22,7 +22,7 @@
   ungranted,
 } from '@flamingocourse/core';
 
-/** Input of {@link planPage}. `levels` is an output. */
+/** Input of {@link planPage}. `targets` is an output. */
 export interface LedgerPlanInput {
   state: JournalState;
   /** Tokens that the pool needs for waiting requests, by account. */
--- a/packages/router/src/node/money/ledgerSync.ts
+++ b/packages/router/src/node/money/ledgerSync.ts
@@ -57,7 +57,7 @@
 /** Multiple of the sync interval at which routers read the pages that they do not sync. */
 const READ_INTERVAL_FACTOR = 5;
 
-/** Most peers asked for tokens in each other data centre. */
+/** Maximum number of peers that are asked for tokens in each other data centre. */
 const MAX_RECALLS_PER_DATA_CENTRE = 4;
 
 /** Multiple of the target above which a pool returns its surplus to the ledger. */
@@ -224,10 +224,10 @@
     });
   }
 
-  async #returnSurplus(ledger: LedgerPage, levels: Map<AccountId, Tokens>): Promise<void> {
+  async #returnSurplus(ledger: LedgerPage, targets: Map<AccountId, Tokens>): Promise<void> {
     const state = this.#options.journal.latest?.state;
     for (const [account, entry] of Object.entries(ledger.accounts)) {
-      const target = levels.get(account) ?? 0;
+      const target = targets.get(account) ?? 0;
       const surplus = state ? pool(state, account) - target : 0;
       const isLasting = this.#isLastingSurplus(account, surplus > target * (RETURN_FACTOR - 1));
       if (surplus <= 0 || (entry.pendingReduction === 0 && !isLasting)) continue;
--- a/packages/router/src/node/money/lineLog.ts
+++ b/packages/router/src/node/money/lineLog.ts
@@ -11,7 +11,7 @@
 import { Channel, awaitPromise, sleep, startProcess, take } from '@flamingocourse/kernel';
 import { Result } from 'true-myth';
 
-/** Most lines in one append. Further lines wait for the next append. */
+/** Maximum number of lines in one append. Further lines wait for the next append. */
 const MAX_LINES_PER_APPEND = 500;
 
 /** Delay before the journal or the witnesses are tried again, in milliseconds. */
@@ -132,18 +132,18 @@
       while (!this.#sealed && this.#waiters.length > 0) {
         if (this.#options.isPlatformUp()) yield* sleep(this.#options.witnessAfterMs);
         if (this.#waiters.length === 0) break;
-        const kept = yield* awaitPromise(this.#keepAtWitness());
+        const kept = yield* awaitPromise(this.#storeAtWitness());
         if (!kept && this.#toWitness.closed) return;
         if (!kept) yield* sleep(RETRY_MS);
       }
     }
   }
 
-  async #keepAtWitness(): Promise<boolean> {
+  async #storeAtWitness(): Promise<boolean> {
     const { spender, transport } = this.#options;
     const lines = [...spender.unapplied];
     const last = lines.at(-1)?.seq ?? 0;
-    const kept = await transport.keepAtWitness(spender.witnesses, lines);
+    const kept = await transport.storeAtWitness(spender.witnesses, lines);
     // If the holder was found sealed in the meantime, the waiters have already failed.
     if (!kept || this.#sealed) return false;
     this.#witnessedSeq = Math.max(this.#witnessedSeq, last);
--- a/packages/router/src/node/money/lineTransport.ts
+++ b/packages/router/src/node/money/lineTransport.ts
@@ -66,7 +66,7 @@
    * Asks the witnesses in turn to store lines. Stops at the first that does and returns whether one
    * did.
    */
-  async keepAtWitness(witnesses: IncarnationId[], lines: JournalLine[]): Promise<boolean> {
+  async storeAtWitness(witnesses: IncarnationId[], lines: JournalLine[]): Promise<boolean> {
     for (const witness of witnesses) {
       const kept = await this.#peers.keepLines(witness, lines);
       if (kept.isOk) return true;
