--- a/test/gateway/fleet/gossipFleet.ts
+++ b/test/gateway/fleet/gossipFleet.ts
@@ -30,7 +30,7 @@
 
 /** One process of an instance. */
 interface Process {
-  news: GossipService;
+  gossip: GossipService;
   received: GossipFact[];
   kernel: Kernel;
 }
@@ -85,7 +85,7 @@
     this.#fleet.largest = Math.max(this.#fleet.largest, JSON.stringify(message).length);
     await delay(LATENCY_MS);
     if (this.#fleet.loses(this.#from, to)) return this.#giveUp();
-    const answer = this.#fleet.process(to.name).news.handleMessage(structuredClone(message));
+    const answer = this.#fleet.process(to.name).gossip.handleMessage(structuredClone(message));
     if (this.#fleet.loses(to, this.#from)) return this.#giveUp();
     await delay(LATENCY_MS);
     return Result.ok(structuredClone(answer));
@@ -144,13 +144,13 @@
     const settings = { ...base.settings, instance: name, dataCentre: instance.dataCentre };
     const context = { ...base, settings, random: () => this.#random.fraction() };
     const incarnation = `${name}/${String(this.clock.now())}`;
-    const news = new GossipService(context, incarnation, new GossipLink(this, instance));
-    const heard: GossipFact[] = [];
-    news.onFact((item) => heard.push(item.news));
+    const gossip = new GossipService(context, incarnation, new GossipLink(this, instance));
+    const received: GossipFact[] = [];
+    gossip.onFact((item) => received.push(item.news));
     const kernel = new Kernel()
       .register(new FixedInstances(this.#instances, context))
-      .register(news);
-    this.#processes.set(name, { news, received: heard, kernel });
+      .register(gossip);
+    this.#processes.set(name, { gossip, received, kernel });
     await kernel.start();
   }
 
@@ -180,7 +180,7 @@
 
   knows(name: string, server: string): boolean {
     return this.process(name).received.some(
-      (news) => news.type === 'crashed' && news.server === server,
+      (fact) => fact.type === 'crashed' && fact.server === server,
     );
   }
 
--- a/test/gateway/gossip.test.ts
+++ b/test/gateway/gossip.test.ts
@@ -97,5 +97,5 @@
 
 function report(fleet: GossipFleet, name: string, server: string, requests = 1): void {
   const inFlight = Array.from({ length: requests }, (_, i) => `${server}-${String(i)}`.padEnd(28));
-  fleet.process(name).news.publish({ type: 'crashed', server, inFlight });
+  fleet.process(name).gossip.publish({ type: 'crashed', server, inFlight });
 }
--- a/test/money/claims.test.ts
+++ b/test/money/claims.test.ts
@@ -25,7 +25,7 @@
     isWritten: boolean;
   }[] = [
     {
-      name: 'a claim of its own',
+      name: 'its own claim',
       before: owned,
       ended: 1,
       owner: 1,
--- a/test/platform/gateway.test.ts
+++ b/test/platform/gateway.test.ts
@@ -61,8 +61,8 @@
 });
 
 describe('an answer that may not be passed on', () => {
-  // Guards against a caller that is told its request has not run although it has, receives the answer to
-  // another request, or has a request executed twice.
+  // Guards against a request reported as not run although it ran, an answer that belongs to another
+  // request, and a request that is executed twice.
   const cases = [
     { behaviour: 'shed', path: '/book/1', status: 503, runs: 'many' },
     { behaviour: 'reset', path: '/book/1', status: 502, runs: 1 },
--- a/test/platform/serverDialect.test.ts
+++ b/test/platform/serverDialect.test.ts
@@ -39,8 +39,8 @@
   return headers.filter((_, at) => at % 2 === 0).map((name) => name.toLowerCase());
 }
 
-// Guards against a caller that occupies the slots or memory of a server, or sends it to the memory of another
-// server, with a header of its own.
+// Guards against a caller that sends control headers to occupy the slots or memory of a server, or to make it
+// copy a prompt from the memory of another server.
 describe('a control header for servers in a request of a caller is not forwarded', () => {
   const cases = [
     { name: 'X-Hold', value: 'h-1' },
--- a/test/platform/serverNotices.test.ts
+++ b/test/platform/serverNotices.test.ts
@@ -86,7 +86,7 @@
     });
   });
 
-  test('if all servers pause, callers are told when the first pause ends', async (t) => {
+  test('if all servers pause, callers are refused with the time until the first pause ends', async (t) => {
     const world = await World.start(t);
     world.behave('p', 'shed');
     for (const id of ['p1', 'p2']) world.server(id).rest = PAUSE_SECONDS;
--- a/test/prepaid/demandSpread.test.ts
+++ b/test/prepaid/demandSpread.test.ts
@@ -53,10 +53,10 @@
   const sizing = new PrepaidSizing();
 
   test('holds the demand of its callers at the instances that they use', () => {
-    const level = sizing.target(situation);
+    const target = sizing.target(situation);
     assert.ok(
-      level >= OUTAGE_SECONDS * rate,
-      `${String(level)} of ${String(OUTAGE_SECONDS * rate)}`,
+      target >= OUTAGE_SECONDS * rate,
+      `${String(target)} of ${String(OUTAGE_SECONDS * rate)}`,
     );
   });
 
--- a/test/prepaid/loanBook.test.ts
+++ b/test/prepaid/loanBook.test.ts
@@ -142,9 +142,9 @@
   test('all loans after its own tokens were lost', () => {
     const { holder, book } = lender();
     book.applyReport(report(1, { wants: 3_000 }), {}, 0);
-    const { incarnation: life } = book;
+    const { incarnation } = book;
     holder.startNewIncarnation();
-    assert.notEqual(book.incarnation, life);
+    assert.notEqual(book.incarnation, incarnation);
     assert.equal(book.held('b', 'shop'), 0);
     assert.equal(book.applyReport(report(2, { keeps: 3_000 }), {}, 1), 'forgotten');
   });
--- a/test/prepaid/prepaidBudgets.test.ts
+++ b/test/prepaid/prepaidBudgets.test.ts
@@ -121,8 +121,8 @@
   });
 });
 
-// Guards against a shared object that grows without bound, and a shrinking part of the retries for
-// each instance: instances are replaced under new names each day and their membership never ends.
+// Guards against memberships that never end. Instances are replaced under new names each day, so the
+// shared object would grow without bound, and each instance's part of the retry allowance would shrink.
 test('leaveGroup frees the places of instances', () => {
   const budgets = leaveGroup(budgetsOf('a', 'b', 'c'), ['a', 'unknown']);
   assert.deepEqual(budgets.members, { b: '0', c: '1' });
--- a/test/prepaid/prepaidHolder.test.ts
+++ b/test/prepaid/prepaidHolder.test.ts
@@ -14,7 +14,7 @@
 
 const outlook = new Map([['shop', { limitPart: 50_000, beyond: 0, groups: 1 }]]);
 
-function createHolder(newcomers?: CallerAffinity): PrepaidHolder {
+function createHolder(callerAffinity?: CallerAffinity): PrepaidHolder {
   const sizing = new PrepaidSizing();
   const options = {
     instance: 'a',
@@ -22,7 +22,9 @@
     sizing,
     maxReportIntervalMs: MAX_REPORT_INTERVAL_MS,
   };
-  return new PrepaidHolder(newcomers ? { ...options, callerAffinity: newcomers } : options);
+  return new PrepaidHolder(
+    callerAffinity ? { ...options, callerAffinity: callerAffinity } : options,
+  );
 }
 
 function grantedPage(): PrepaidPage {
@@ -107,7 +109,7 @@
   for (const { name, waits } of cases) {
     test(name, () => {
       const { holder, page } = start();
-      // So much demand that hardly any of the remaining tokens are allocated in advance.
+      // So much demand that almost none of the remaining tokens are allocated in advance.
       for (let n = 0; n < 30; n += 1) holder.observe('shop', 1_000, 15);
       holder.reserve('shop', 8_000);
       holder.beginWait('shop', 8_000);
--- a/test/prepaid/prepaidPage.test.ts
+++ b/test/prepaid/prepaidPage.test.ts
@@ -39,17 +39,17 @@
     {
       name: 'allocates the requested tokens',
       reports: [report('a', 1, { wants: 400 })],
-      expected: { held: 400, spent: 0, inDoubt: 0, undealt: 600, remaining: 1_000 },
+      expected: { held: 400, spent: 0, inDoubt: 0, unallocated: 600, remaining: 1_000 },
     },
     {
       name: 'allocates no more than the grant allows',
       reports: [report('a', 1, { wants: 700 }), report('b', 1, { wants: 700 })],
-      expected: { held: 1_000, spent: 0, inDoubt: 0, undealt: 0, remaining: 1_000 },
+      expected: { held: 1_000, spent: 0, inDoubt: 0, unallocated: 0, remaining: 1_000 },
     },
     {
       name: 'moves spent tokens from held to spent',
       reports: [report('a', 1, { wants: 400 }), report('a', 2, { spent: 150, keeps: 250 })],
-      expected: { held: 250, spent: 150, inDoubt: 0, undealt: 600, remaining: 850 },
+      expected: { held: 250, spent: 150, inDoubt: 0, unallocated: 600, remaining: 850 },
     },
     {
       name: 'applies the same report once',
@@ -58,14 +58,14 @@
         report('a', 2, { spent: 150, keeps: 250 }),
         report('a', 2, { spent: 150, keeps: 250 }),
       ],
-      expected: { held: 250, spent: 150, inDoubt: 0, undealt: 600, remaining: 850 },
+      expected: { held: 250, spent: 150, inDoubt: 0, unallocated: 600, remaining: 850 },
     },
     {
       // The process was killed between two reports and may have spent its tokens, so neither its
       // successor nor another instance may get them.
       name: 'charges the tokens of a killed process',
       reports: [report('a', 1, { wants: 400 }), report('a', 1, { wants: 100 }, 'a-2')],
-      expected: { held: 100, spent: 0, inDoubt: 400, undealt: 500, remaining: 600 },
+      expected: { held: 100, spent: 0, inDoubt: 400, unallocated: 500, remaining: 600 },
     },
   ];
   for (const { name, reports, expected } of cases) {
@@ -77,7 +77,7 @@
           held: heldPrepaid(account),
           spent: account.spent,
           inDoubt: account.inDoubt,
-          undealt: unallocatedPrepaid(account),
+          unallocated: unallocatedPrepaid(account),
           remaining: remainingPrepaid(account),
         },
         expected,
--- a/test/prepaid/prepaidSizing.test.ts
+++ b/test/prepaid/prepaidSizing.test.ts
@@ -57,8 +57,8 @@
   ];
   for (const { name, change, from, to } of cases) {
     test(name, () => {
-      const level = sizing.target({ ...usual, ...change });
-      assert.ok(level >= from && level <= to, `level ${String(level)}`);
+      const target = sizing.target({ ...usual, ...change });
+      assert.ok(target >= from && target <= to, `target ${String(target)}`);
     });
   }
 });
@@ -67,8 +67,8 @@
 // allocated its mean demand, and had two large requests.
 test('a small account gets a larger multiple of its mean demand than a large one', () => {
   const ofMean = (rate: number): number => {
-    const level = sizing.target({ ...usual, remaining: 1e9, rate, fleetRate: rate * 7 });
-    return level / (rate * 10);
+    const target = sizing.target({ ...usual, remaining: 1e9, rate, fleetRate: rate * 7 });
+    return target / (rate * 10);
   };
   assert.ok(ofMean(1_000) > 2, `small: ${String(ofMean(1_000))}`);
   assert.ok(ofMean(40_000) < 1.3, `large: ${String(ofMean(40_000))}`);
@@ -92,16 +92,16 @@
   for (const seconds of [20, 30, 60]) {
     test(`with ${String(seconds)} s of demand left`, () => {
       const remaining = seconds * fleetRate;
-      const levels = rates.map((rate) => sizing.target({ ...usual, remaining, rate, fleetRate }));
-      const held = levels.reduce((sum, level) => sum + level, 0);
+      const targets = rates.map((rate) => sizing.target({ ...usual, remaining, rate, fleetRate }));
+      const held = targets.reduce((sum, target) => sum + target, 0);
       assert.ok(remaining - held >= 10 * fleetRate, `held ${String(held)} of ${String(remaining)}`);
     });
   }
 });
 
 test('an account with many remaining tokens allocates all that its instances can use', () => {
-  const level = sizing.target({ ...usual, remaining: 5_000_000 });
-  assert.ok(level >= 10 * usual.rate, `level ${String(level)}`);
+  const target = sizing.target({ ...usual, remaining: 5_000_000 });
+  assert.ok(target >= 10 * usual.rate, `target ${String(target)}`);
 });
 
 // Guards against too few tokens after a loss of all instances: tokens that borrowers had spent and
--- a/test/routing/keptServers.test.ts
+++ b/test/routing/keptServers.test.ts
@@ -36,7 +36,7 @@
     assert.deepEqual(kept.takeDueProbes(900), ['p1']);
   });
 
-  test('is given up at the time limit, whatever it answers', () => {
+  test('is no longer kept after the time limit, regardless of its answers', () => {
     const kept = keep('p1');
     kept.recordProbe('p1', 'staying', 2_100);
     assert.deepEqual(kept.expired(UNTIL - 1), []);
--- a/test/routing/promptLocations.test.ts
+++ b/test/routing/promptLocations.test.ts
@@ -24,7 +24,7 @@
 
 class Instance {
   readonly pool = new ServerPool({ dataCentre: 'dc-a', concurrencyPerServer: 128 });
-  readonly holders = new PromptLocations();
+  readonly locations = new PromptLocations();
   readonly #chooser = new PrefixAffinityChooser(1.5);
   #inFlight: { attempt: number; until: number }[] = [];
 
@@ -63,12 +63,12 @@
       instance.place(hash32(`note-${String(random())}`), now, random);
     const id = instance.place(hash32(session), now, random);
     const holders = read.get(session) ?? new Set<string>();
-    const known = instance.holders.find(session);
+    const known = instance.locations.find(session);
     const except = new Set([id]);
     const source = known ?? instance.pool.likelyPromptServer(hash32(session), except, now)?.id;
     const copied = copies && source !== undefined && holders.has(source);
     if (holders.size > 0 && !holders.has(id) && !copied) again += SESSION_TOKENS;
-    instance.holders.record(session, id);
+    instance.locations.record(session, id);
     read.set(session, holders.add(id));
   }
   return again;
--- a/test/routing/serverNotices.test.ts
+++ b/test/routing/serverNotices.test.ts
@@ -12,7 +12,7 @@
 
 const LEAVES = notice({ leaving: true });
 
-function rests(ms: number): ServerNotice {
+function pause(ms: number): ServerNotice {
   return notice({ rest: { type: 'rest', ms } });
 }
 
@@ -21,7 +21,7 @@
 }
 
 describe('a server that reports that it is leaving', () => {
-  test('gets no more requests, whatever it reports later', () => {
+  test('gets no more requests, regardless of what it reports later', () => {
     const notices = createNotices();
     assert.deepEqual(notices.record(INCARNATION, LEAVES, 0), ['leaving'] satisfies NoticeChange[]);
     assert.deepEqual(notices.record(INCARNATION, notice(), 10), []);
@@ -55,21 +55,21 @@
   for (const { name, ms, at, next } of cases) {
     test(name, () => {
       const notices = createNotices();
-      notices.record(INCARNATION, rests(ms), 0);
+      notices.record(INCARNATION, pause(ms), 0);
       assert.equal(notices.nextAt(INCARNATION, at), next);
     });
   }
 
   test('is reported once per pause, and pauses as long as it last requested', () => {
     const notices = createNotices();
-    assert.deepEqual(notices.record(INCARNATION, rests(3_000), 0), ['rests']);
-    assert.deepEqual(notices.record(INCARNATION, rests(3_000), 1_000), []);
+    assert.deepEqual(notices.record(INCARNATION, pause(3_000), 0), ['rests']);
+    assert.deepEqual(notices.record(INCARNATION, pause(3_000), 1_000), []);
     assert.equal(notices.nextAt(INCARNATION, 1_000), 4_000);
   });
 
   test('is tested by one request at a time after the pause', () => {
     const notices = createNotices();
-    notices.record(INCARNATION, rests(1_000), 0);
+    notices.record(INCARNATION, pause(1_000), 0);
     notices.recordSent(INCARNATION, 1_000);
     assert.equal(notices.nextAt(INCARNATION, 1_001), 1_500);
     assert.equal(notices.nextAt(INCARNATION, 1_500), 1_500);
@@ -79,7 +79,7 @@
   // one request is sent every half second.
   test('is used normally once the test request is answered', () => {
     const notices = createNotices();
-    notices.record(INCARNATION, rests(1_000), 0);
+    notices.record(INCARNATION, pause(1_000), 0);
     notices.recordSent(INCARNATION, 1_000);
     assert.deepEqual(notices.record(INCARNATION, notice(), 1_005), ['back']);
     notices.recordSent(INCARNATION, 1_005);
@@ -88,7 +88,7 @@
 
   test('stays in its pause when an earlier request is answered', () => {
     const notices = createNotices();
-    notices.record(INCARNATION, rests(1_000), 0);
+    notices.record(INCARNATION, pause(1_000), 0);
     assert.deepEqual(notices.record(INCARNATION, notice(), 500), []);
     assert.equal(notices.nextAt(INCARNATION, 500), 1_000);
   });
@@ -96,7 +96,7 @@
   // Guards against a first request long after a pause that has all others refused during its test.
   test('is used normally by an instance that returns long after the pause', () => {
     const notices = createNotices();
-    notices.record(INCARNATION, rests(1_000), 0);
+    notices.record(INCARNATION, pause(1_000), 0);
     notices.recordSent(INCARNATION, 3_001);
     assert.equal(notices.nextAt(INCARNATION, 3_001), 3_001);
   });
@@ -106,7 +106,7 @@
   test('gets its first requests one after another', () => {
     const times = [0, 0.5, 0.99].map((random) => {
       const notices = createNotices(random);
-      notices.record(INCARNATION, rests(3_000), 0);
+      notices.record(INCARNATION, pause(3_000), 0);
       return notices.nextAt(INCARNATION, 0);
     });
     assert.deepEqual(times, [3_000, 3_375, 3_742.5]);
--- a/test/routing/serverRateLimits.test.ts
+++ b/test/routing/serverRateLimits.test.ts
@@ -10,31 +10,31 @@
 describe('the known limit after several answers of a server', () => {
   const cases: readonly {
     name: string;
-    told: ReportedRateLimit[];
+    reports: ReportedRateLimit[];
     changes: (RateLimitChange | undefined)[];
     known: number | undefined;
   }[] = [
-    { name: 'none', told: [none], changes: [undefined], known: undefined },
-    { name: 'reported once', told: [limit(2)], changes: ['named'], known: 2 },
+    { name: 'none', reports: [none], changes: [undefined], known: undefined },
+    { name: 'reported once', reports: [limit(2)], changes: ['named'], known: 2 },
     {
       name: 'repeated, then changed',
-      told: [limit(2), limit(2), limit(3)],
+      reports: [limit(2), limit(2), limit(3)],
       changes: ['named', undefined, 'changed'],
       known: 3,
     },
-    { name: 'ended', told: [limit(2), none], changes: ['named', 'ended'], known: undefined },
+    { name: 'ended', reports: [limit(2), none], changes: ['named', 'ended'], known: undefined },
     {
       name: 'unchanged by invalid values, which are reported once',
-      told: [limit(2), invalid, invalid, limit(2), invalid],
+      reports: [limit(2), invalid, invalid, limit(2), invalid],
       changes: ['named', 'invalid', undefined, undefined, 'invalid'],
       known: 2,
     },
   ];
-  for (const { name, told, changes, known } of cases) {
+  for (const { name, reports, changes, known } of cases) {
     test(name, () => {
       const limits = new ServerRateLimits(() => 0.5);
       assert.deepEqual(
-        told.map((word, at) => limits.record('p1', word, at)),
+        reports.map((report, at) => limits.record('p1', report, at)),
         changes,
       );
       assert.equal(limits.view('p1', 10)?.limitPerSecond, known);
