--- a/packages/gateway/src/node/prepaidPages.ts
+++ b/packages/gateway/src/node/prepaidPages.ts
@@ -36,8 +36,8 @@
 };
 
 /**
- * Timeout of a call in milliseconds while the store is unreachable. It is short because only a new
- * connection soon notices that the store is back.
+ * Timeout of a call in milliseconds while the store is unreachable. It is short because a call on a
+ * new connection detects sooner than a pending one that the store is reachable again.
  */
 const UNREACHABLE_TIMEOUT_MS = 500;
 
@@ -107,7 +107,7 @@
     return this.#own?.page.ageMs(now) ?? Infinity;
   }
 
-  /** Inputs for sizing a report that the page does not contain. */
+  /** Inputs for sizing a report, as far as the group's page does not contain them. */
   outlook(limits: PrepaidLimits): Map<AccountId, PrepaidOutlook> {
     return this.#grants.outlook(limits);
   }
@@ -187,7 +187,7 @@
   /**
    * At intervals of `tendMs`, removes lost instances from this instance's group and the next group, and
    * marks their tokens as in doubt. Otherwise lost members would fill groups and use up their share of the
-   * fleet's retries, and the grants of a lost group would stay unused.
+   * fleet's retry allowance, and the grants of a lost group would stay unused.
    */
   async maintain(limits: PrepaidLimits): Promise<Result<Unit, StoreError>> {
     const now = this.#now();
--- a/packages/gateway/src/node/storeTokens.ts
+++ b/packages/gateway/src/node/storeTokens.ts
@@ -156,8 +156,8 @@
   override fetchOutlook(account: AccountId, amount: Tokens): FetchOutlook {
     if (this.isUnreachable) return 'away';
     if (this.#now() < this.#throttledUntil) return 'throttled';
-    const believedMs = shortageTrustMs(this.#periodMs, this.#pages.instances);
-    if (this.#pages.ageMs(this.#now()) > believedMs) return 'may-help';
+    const trustMs = shortageTrustMs(this.#periodMs, this.#pages.instances);
+    if (this.#pages.ageMs(this.#now()) > trustMs) return 'may-help';
     const available = this.#pages.available(account, this.#limit(account));
     return this.free(account) + available < amount ? 'short' : 'may-help';
   }
--- a/packages/gateway/src/runtime/enginePriority.ts
+++ b/packages/gateway/src/runtime/enginePriority.ts
@@ -12,8 +12,7 @@
  * Shortest prompt first. An engine processes prompts one after the other: a prompt of 500 tokens
  * behind one of 30,000 waits most of a second, while the short prompt delays the long one only
  * slightly. This reduces the waiting time of nearly all requests at the expense of a few very long
- * ones.
- * The steps follow the sizes of chats, drafts and digests.
+ * ones. The steps follow the sizes of chats, drafts and digests.
  */
 const STEPS: readonly PriorityStep[] = [
   { maxTokens: 1_000, priority: 1 },
--- a/packages/gateway/src/runtime/reportPeriod.ts
+++ b/packages/gateway/src/runtime/reportPeriod.ts
@@ -27,7 +27,7 @@
  * @param periodMs time between two reports; each report reads the page in any case.
  *
  * @example
- * believedShortMs(2_000, 7); // 252
+ * shortageTrustMs(2_000, 7); // 252
  */
 export function shortageTrustMs(periodMs: number, instances: number): number {
   return Math.min(periodMs, SHORTAGE_TRUST_MS_PER_INSTANCE * instances);
--- a/packages/router/src/node/backends/engineAttempt.ts
+++ b/packages/router/src/node/backends/engineAttempt.ts
@@ -51,7 +51,7 @@
   nonce: string;
   /** Complete body of the call as JSON text. */
   body: string;
-  /** Most text chunks to accept; after that the attempt ends with finish reason `length`. */
+  /** Maximum number of text chunks to accept; after that the attempt ends with finish reason `length`. */
   maxChunks: number;
   /** Longest time without data before the attempt times out, in milliseconds. */
   stallMs: number;
--- a/packages/router/src/node/money/moneyService.ts
+++ b/packages/router/src/node/money/moneyService.ts
@@ -64,7 +64,7 @@
 /** Interval at which a waiting request tries to reserve tokens again, in milliseconds. */
 const RESERVE_POLL_MS = 10;
 
-/** Longest wait for the slices to be returned when the service stops, in milliseconds. */
+/** Timeout for returning the slices when the service stops, in milliseconds. */
 const STOP_TIMEOUT_MS = 3_000;
 
 /**
--- a/packages/router/src/node/money/provisionalSettler.ts
+++ b/packages/router/src/node/money/provisionalSettler.ts
@@ -25,7 +25,8 @@
 /** Interval between two rounds, in milliseconds. */
 const SETTLE_INTERVAL_MS = 500;
 /**
- * Most bills settled in one round, so that the backlog of a long outage does not delay other work.
+ * Maximum number of bills settled in one round, so that the backlog of a long outage does not delay
+ * other work.
  */
 const MAX_PER_ROUND = 64;
 
--- a/test/gateway/decisions.test.ts
+++ b/test/gateway/decisions.test.ts
@@ -88,7 +88,7 @@
     assert.ok(taken <= options.ratio * requests + options.slack, `took ${String(taken)}`);
   });
 
-  test('comes back as the window moves on', () => {
+  test('allows a retry again once the previous one is outside the window', () => {
     const allowance = new RetryAllowance({ ...options, ratio: 0, instances: 27 });
     assert.equal(allowance.take(0), true);
     assert.equal(allowance.take(1), false);
--- a/test/gateway/fleet/storeLink.ts
+++ b/test/gateway/fleet/storeLink.ts
@@ -22,7 +22,7 @@
 const LINK_BYTES_PER_MS = 1_250;
 /** Milliseconds after which a call without an answer times out. */
 const CALL_TIMEOUT_MS = 1_000;
-/** Milliseconds between two signs of life of a watch. */
+/** Milliseconds between two keep-alive signals of a watch. */
 const WATCH_SIGNAL_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
--- a/test/gateway/gossip.test.ts
+++ b/test/gateway/gossip.test.ts
@@ -43,8 +43,8 @@
   assert.deepEqual([fleet.informedCount('within'), fleet.informedCount('without')], [7, 7]);
 });
 
-// Guards against senders that take a message for received although only its direction of the link fails.
-test('an instance that receives nothing but sends does not keep facts from the others', async (t) => {
+// Guards against senders that count a message as received although the receiver's inbound link has failed.
+test('an instance that can send but not receive does not prevent the others from receiving a fact', async (t) => {
   const fleet = await GossipFleet.start(t, SMALL);
   await fleet.advance(500);
   fleet.dropMessagesTo('edge-5');
--- a/test/gateway/prepaidFleet.test.ts
+++ b/test/gateway/prepaidFleet.test.ts
@@ -15,7 +15,7 @@
 };
 /** Additional latency to the store, in milliseconds, of the instance with these requests. */
 const EXTRA_LATENCY_MS = 60;
-/** Milliseconds after a partition in which a call made during it may still hang until the next one is due. */
+/** Milliseconds after a partition until calls that were made during it have timed out and are made again. */
 const HANGING_MS = 1_500;
 /**
  * Fraction of requests that may be refused for missing tokens while the store answers and the budgets are
--- a/test/gateway/reportPeriod.test.ts
+++ b/test/gateway/reportPeriod.test.ts
@@ -24,14 +24,14 @@
 // store's rate limit.
 describe('how long a page with too few tokens is trusted', () => {
   const cases = [
-    { periodMs: 2_000, instances: 1, believedMs: 36 },
-    { periodMs: 2_000, instances: 7, believedMs: 252 },
-    { periodMs: 4_000, instances: 86, believedMs: 3_096 },
-    { periodMs: 4_000, instances: 2_800, believedMs: 4_000 },
+    { periodMs: 2_000, instances: 1, trustMs: 36 },
+    { periodMs: 2_000, instances: 7, trustMs: 252 },
+    { periodMs: 4_000, instances: 86, trustMs: 3_096 },
+    { periodMs: 4_000, instances: 2_800, trustMs: 4_000 },
   ];
-  for (const { periodMs, instances, believedMs } of cases) {
-    test(`${String(instances)} instances: ${String(believedMs)} ms`, () => {
-      assert.equal(shortageTrustMs(periodMs, instances), believedMs);
+  for (const { periodMs, instances, trustMs } of cases) {
+    test(`${String(instances)} instances: ${String(trustMs)} ms`, () => {
+      assert.equal(shortageTrustMs(periodMs, instances), trustMs);
     });
   }
 });
--- a/test/gateway/storedObject.test.ts
+++ b/test/gateway/storedObject.test.ts
@@ -103,7 +103,7 @@
     assert.equal(own.version, version);
   });
 
-  test('is busy when every attempt conflicts', async () => {
+  test('fails with busy if every attempt conflicts', async () => {
     const { store, own } = await start();
     store.hasRival = true;
     assert.equal((await own.change(addOne, 1)).unwrapOr(undefined), 'busy');
--- a/test/routing/serverNotices.test.ts
+++ b/test/routing/serverNotices.test.ts
@@ -93,7 +93,8 @@
     assert.equal(notices.nextAt(INCARNATION, 500), 1_000);
   });
 
-  // Guards against a first request long after a pause that has all others refused during its test.
+  // Guards against treating the first request long after a pause as a test, during which all others
+  // are refused.
   test('is used normally by an instance that returns long after the pause', () => {
     const notices = createNotices();
     notices.record(INCARNATION, pause(1_000), 0);
--- a/test/routing/serverPool.test.ts
+++ b/test/routing/serverPool.test.ts
@@ -234,7 +234,8 @@
     assert.deepEqual(openIds(pool, 2), ['s1', 's2']);
   });
 
-  // Guards against a suspect that waits for ever: under load no server becomes idle unless requests are withheld.
+  // Guards against a suspect that waits for ever: under load no server becomes idle unless new
+  // requests are withheld from one.
   test('in a busy pool one server gets no new requests until it is idle', () => {
     const pool = poolOf(['s1', 's2']);
     const first = pool.dispatch('s1', 0);
