--- a/packages/gateway/src/node/serverAttempt.ts
+++ b/packages/gateway/src/node/serverAttempt.ts
@@ -77,7 +77,7 @@
       metrics.rateLimitedAttempt(this.#call.service.name);
     const opened = await this.#open();
     if (opened.isErr) return this.#failToOpen(opened.error);
-    this.#placement.heard();
+    this.#placement.recordReceived();
     this.#recordLoad(opened.value);
     const verdict = this.#parts.context.dialects.servers.judge(this.#call.head, opened.value.head);
     // a response from another server says nothing about this one.
@@ -102,7 +102,7 @@
   #open(): ReturnType<typeof openAttempt> {
     const { context, agent } = this.#parts;
     const { head, account, answer, body, service, signal, endsAt } = this.#call;
-    const { server, holder } = this.#placement;
+    const { server, promptSource: holder } = this.#placement;
     return openAttempt({
       url: server.url,
       method: head.method,
@@ -173,7 +173,7 @@
     const { answer, route, signal } = this.#call;
     const headers = this.#parts.context.dialects.servers.answerHeaders(open.head);
     const onChunk = (): void => {
-      this.#placement.heard();
+      this.#placement.recordReceived();
     };
     const relay = { open, answer, headers, signal, onChunk, now: () => this.#now() };
     if (!isStream(route.repetition) || open.head.status >= 500) return relayWhole(relay);
@@ -181,7 +181,7 @@
   }
 
   async #relayEvents(relay: Relay): Promise<RelayEnd> {
-    this.#placement.promptRead();
+    this.#placement.recordPromptRead();
     const timing = new EventTiming();
     const end = await relayStream(relay, (events, lastId) => {
       this.#progress.events += events;
--- a/packages/gateway/src/node/sharedQuarantine.ts
+++ b/packages/gateway/src/node/sharedQuarantine.ts
@@ -10,7 +10,7 @@
   QuarantineEvent,
   QuarantineState,
 } from '@flamingocourse/core';
-import type { QuarantineExchange, QuarantineNews } from '@flamingocourse/router';
+import type { QuarantineExchange, QuarantineUpdate } from '@flamingocourse/router';
 import type { GatewayContext } from '../types/context.js';
 import type { StoredCrashCauses } from './storedCrashCauses.js';
 import type { GossipService } from './gossipService.js';
@@ -57,7 +57,7 @@
     if (this.#inFlightAtCrash.has(fingerprint)) this.#saveCauses([fingerprint], state);
   }
 
-  onNews(listener: (news: QuarantineNews) => void): void {
+  onUpdate(listener: (news: QuarantineUpdate) => void): void {
     this.#gossip.onFact(({ news, at }) => {
       // every instance that knows the stored cause removes it, wherever the request finished.
       if (news.type === 'finished') this.#causes.remove(news.fingerprint);
--- a/packages/router/src/node/backends/engineAttempt.ts
+++ b/packages/router/src/node/backends/engineAttempt.ts
@@ -31,7 +31,7 @@
 type Chunk = z.infer<typeof chunkSchema>;
 
 /** How an attempt on an engine ended. */
-export type EngineEnd =
+export type EngineOutcome =
   | {
       type: 'done';
       finishReason: string;
@@ -62,12 +62,12 @@
 const agent = new Agent({ keepAlive: true, maxSockets: 512, scheduling: 'lifo' });
 
 /**
- * Runs one attempt until it ends. Never rejects: every failure is an {@link EngineEnd}.
+ * Runs one attempt until it ends. Never rejects: every failure is an {@link EngineOutcome}.
  *
  * @example
  * const end = await runEngineAttempt({ url, nonce, body, maxChunks: 64, stallMs: 2_000, signal, onText });
  */
-export function runEngineAttempt(attempt: EngineAttempt): Promise<EngineEnd> {
+export function runEngineAttempt(attempt: EngineAttempt): Promise<EngineOutcome> {
   return new Promise((resolve) => {
     new AttemptRun(attempt, resolve).start();
   });
@@ -75,7 +75,7 @@
 
 class AttemptRun {
   readonly #attempt: EngineAttempt;
-  readonly #resolve: (end: EngineEnd) => void;
+  readonly #resolve: (end: EngineOutcome) => void;
   #req: ClientRequest | undefined;
   #timer: NodeJS.Timeout | undefined;
   #settled = false;
@@ -85,7 +85,7 @@
   #usage: { promptTokens: number; completionTokens: number } | undefined;
   #lastEventId = -1;
 
-  constructor(attempt: EngineAttempt, resolve: (end: EngineEnd) => void) {
+  constructor(attempt: EngineAttempt, resolve: (end: EngineOutcome) => void) {
     this.#attempt = attempt;
     this.#resolve = resolve;
   }
@@ -218,7 +218,7 @@
     });
   }
 
-  #connectionEnd(detail: string): EngineEnd {
+  #connectionEnd(detail: string): EngineOutcome {
     return this.#connected ? { type: 'crashed', detail } : { type: 'not-sent', detail };
   }
 
@@ -234,7 +234,7 @@
     this.#settle({ type: 'cancelled' });
   };
 
-  #settle(end: EngineEnd): void {
+  #settle(end: EngineOutcome): void {
     if (this.#settled) return;
     this.#settled = true;
     clearTimeout(this.#timer);
@@ -251,7 +251,7 @@
   return chunkId === nonce || chunkId.endsWith(`-${nonce}`);
 }
 
-function rejectionEnd(status: number, text: string): EngineEnd {
+function rejectionEnd(status: number, text: string): EngineOutcome {
   if (status === 503 && text.includes('"leaving"')) return { type: 'leaving' };
   return { type: 'rejected', status, detail: text.slice(0, 500) };
 }
--- a/packages/router/src/node/backends/plainAttempt.ts
+++ b/packages/router/src/node/backends/plainAttempt.ts
@@ -7,7 +7,7 @@
 const MAX_ANSWER_BYTES = 4 * 1_048_576;
 
 /** How a call to a plain service ended. */
-export type PlainEnd =
+export type PlainOutcome =
   | { type: 'done'; status: number; contentType: string; body: Buffer }
   | { type: 'not-sent'; detail: string }
   | { type: 'leaving' }
@@ -39,7 +39,7 @@
  * @example
  * const end = await runPlainAttempt({ url, nonce, method: 'GET', path: '/items', ... });
  */
-export async function runPlainAttempt(attempt: PlainAttempt): Promise<PlainEnd> {
+export async function runPlainAttempt(attempt: PlainAttempt): Promise<PlainOutcome> {
   if (attempt.signal.aborted) return { type: 'cancelled' };
   let connected = false;
   return new Promise((resolve) => {
@@ -60,7 +60,7 @@
     const onAbort = (): void => {
       settle({ type: 'cancelled' });
     };
-    const settle = (end: PlainEnd): void => {
+    const settle = (end: PlainOutcome): void => {
       clearTimeout(timer);
       attempt.signal.removeEventListener('abort', onAbort);
       if (end.type !== 'done' && end.type !== 'leaving') req.destroy();
@@ -85,7 +85,7 @@
   });
 }
 
-function readAnswer(res: IncomingMessage, settle: (end: PlainEnd) => void): void {
+function readAnswer(res: IncomingMessage, settle: (end: PlainOutcome) => void): void {
   const parts: Buffer[] = [];
   let size = 0;
   res.on('data', (part: Buffer) => {
--- a/packages/router/src/node/backends/quarantineRegister.ts
+++ b/packages/router/src/node/backends/quarantineRegister.ts
@@ -8,7 +8,7 @@
   QuarantineVerdict,
 } from '@flamingocourse/core';
 import type { Clock, EventLog } from '@flamingocourse/kernel';
-import type { QuarantineExchange, QuarantineNews } from '../../types/backendPorts.js';
+import type { QuarantineExchange, QuarantineUpdate } from '../../types/backendPorts.js';
 import {
   createQuarantine,
   judgeFingerprint,
@@ -45,7 +45,7 @@
     this.#log = log;
     this.#exchange = exchange;
     this.#isShared = isShared;
-    exchange.onNews((update) => {
+    exchange.onUpdate((update) => {
       this.#applyFromPeer(update);
     });
   }
@@ -88,7 +88,7 @@
     if (this.#state !== before) this.#exchange.publish(event, this.#state);
   }
 
-  #applyFromPeer(update: QuarantineNews): void {
+  #applyFromPeer(update: QuarantineUpdate): void {
     if (update.type === 'event') this.#apply(update.event, update.at, 'told by a peer');
     else this.#state = mergeQuarantines(this.#state, update.state, this.#clock.now());
   }
--- a/packages/router/src/node/backends/serviceLane.ts
+++ b/packages/router/src/node/backends/serviceLane.ts
@@ -15,7 +15,7 @@
   ShedEntry,
 } from '@flamingocourse/core';
 import type { Clock } from '@flamingocourse/kernel';
-import type { AttemptEnd, Placement, PlacementRequest } from '../../types/backends.js';
+import type { PlacementOutcome, Placement, PlacementRequest } from '../../types/backends.js';
 import type { CrashCheck } from '../../types/crashCheck.js';
 import type { QuarantineRegister } from './quarantineRegister.js';
 import {
@@ -35,9 +35,9 @@
   quarantinedRefusal,
   shedDetails,
 } from './laneRefusals.js';
-import { toHealthOutcome } from './healthEnd.js';
+import { toHealthOutcome } from './healthOutcome.js';
 import { InFlightRequests } from './inFlightRequests.js';
-import { LaneStatistics } from './laneLearning.js';
+import { LaneStatistics } from './laneStatistics.js';
 
 /**
  * Maximum number of requests that wait outside the queue because no server that they may use has
@@ -288,15 +288,15 @@
     const { prefixKey } = request;
     return {
       server,
-      holder:
+      promptSource:
         prefixKey === undefined
           ? undefined
           : this.#findPromptSource(prefixKey, server, request, now),
       priority: enginePriority[request.importance],
-      heard: () => {
+      recordReceived: () => {
         pool.recordReceived(attempt, this.#options.clock.now());
       },
-      promptRead: () => {
+      recordPromptRead: () => {
         if (prefixKey !== undefined) this.#promptLocations.record(prefixKey, server.id);
       },
       end: (how, firstTokenMs) => {
@@ -338,7 +338,7 @@
   #recordEnd(
     attempt: number,
     { workClass }: PlacementRequest,
-    how: AttemptEnd,
+    how: PlacementOutcome,
     firstTokenMs: number | undefined,
   ): void {
     const targetMs = this.#statistics.targetMs(workClass);
@@ -352,7 +352,12 @@
     pool.settle(attempt, result, clock.now());
   }
 
-  #reportCrash(server: BackendServer, attempt: number, fingerprint: string, how: AttemptEnd): void {
+  #reportCrash(
+    server: BackendServer,
+    attempt: number,
+    fingerprint: string,
+    how: PlacementOutcome,
+  ): void {
     const { quarantine } = this.#options;
     const isFirstReport = this.#inFlight.remove(server.id, attempt);
     if (how === 'ok') quarantine.recordFinished(fingerprint);
--- a/packages/router/src/node/entry/chatWork.ts
+++ b/packages/router/src/node/entry/chatWork.ts
@@ -8,8 +8,8 @@
 
 import type { Tokens } from '@flamingocourse/core';
 import type { BillDetails } from '../../types/money.js';
-import type { EngineEnd } from '../backends/engineAttempt.js';
-import type { AttemptEnd, Placement } from '../../types/backends.js';
+import type { EngineOutcome } from '../backends/engineAttempt.js';
+import type { PlacementOutcome, Placement } from '../../types/backends.js';
 import type { ChatRequest } from './callerRequest.js';
 import type { Execution } from './executionTable.js';
 import type { WorkEnd } from './work.js';
@@ -67,7 +67,7 @@
     execution: Execution,
     placement: Placement,
     progress: Progress,
-  ): Promise<EngineEnd> {
+  ): Promise<EngineOutcome> {
     progress.attempts += 1;
     execution.dispatched = true;
     const startedAt = this.context.clock.now();
@@ -91,7 +91,7 @@
   }
 
   /** Returns the end of the request after an attempt, or undefined if it is to be retried. */
-  #endOrRetry(end: EngineEnd, execution: Execution, progress: Progress): WorkEnd | undefined {
+  #endOrRetry(end: EngineOutcome, execution: Execution, progress: Progress): WorkEnd | undefined {
     switch (end.type) {
       case 'done':
         return this.#completed(end, progress);
@@ -135,7 +135,7 @@
     return this.mayRetry(progress.attempts) && this.remainingMs() > 1;
   }
 
-  #completed(end: EngineEnd & { type: 'done' }, progress: Progress): WorkEnd {
+  #completed(end: EngineOutcome & { type: 'done' }, progress: Progress): WorkEnd {
     const completionTokens = progress.delivered;
     const reported = end.usage
       ? end.usage.promptTokens + end.usage.completionTokens - completionTokens
@@ -207,7 +207,7 @@
   }
 }
 
-function attemptEndOf(end: EngineEnd): AttemptEnd {
+function attemptEndOf(end: EngineOutcome): PlacementOutcome {
   switch (end.type) {
     case 'done':
       return 'ok';
@@ -224,7 +224,7 @@
   }
 }
 
-function describeEnd(end: EngineEnd): string {
+function describeEnd(end: EngineOutcome): string {
   switch (end.type) {
     case 'timed-out':
       return 'The model server stopped sending; try again.';
--- a/packages/router/src/node/entry/plainWork.ts
+++ b/packages/router/src/node/entry/plainWork.ts
@@ -6,8 +6,8 @@
  */
 
 import type { Refusal, Tokens } from '@flamingocourse/core';
-import type { AttemptEnd, Placement } from '../../types/backends.js';
-import type { PlainEnd } from '../backends/plainAttempt.js';
+import type { PlacementOutcome, Placement } from '../../types/backends.js';
+import type { PlainOutcome } from '../backends/plainAttempt.js';
 import type { PlainRequest } from './callerRequest.js';
 import type { Execution } from './executionTable.js';
 import type { WorkEnd } from './work.js';
@@ -33,7 +33,11 @@
     }
   }
 
-  async #attempt(execution: Execution, placement: Placement, attempts: number): Promise<PlainEnd> {
+  async #attempt(
+    execution: Execution,
+    placement: Placement,
+    attempts: number,
+  ): Promise<PlainOutcome> {
     const wasDispatched = execution.dispatched;
     execution.dispatched = true;
     const startedAt = this.context.clock.now();
@@ -52,7 +56,7 @@
     return end;
   }
 
-  #endOrRetry(end: PlainEnd, execution: Execution, attempts: number): WorkEnd | undefined {
+  #endOrRetry(end: PlainOutcome, execution: Execution, attempts: number): WorkEnd | undefined {
     switch (end.type) {
       case 'done':
         return this.#completed(end);
@@ -87,7 +91,7 @@
     return execution.dispatched ? backendFailed(refusal.detail, true) : refusal;
   }
 
-  #completed(end: PlainEnd & { type: 'done' }): WorkEnd {
+  #completed(end: PlainOutcome & { type: 'done' }): WorkEnd {
     const { service } = this.request;
     const details = {
       service: service.name,
@@ -100,7 +104,7 @@
   }
 }
 
-function attemptEndOf(end: PlainEnd): AttemptEnd {
+function attemptEndOf(end: PlainOutcome): PlacementOutcome {
   switch (end.type) {
     case 'done':
       return end.status >= 500 ? 'failed' : 'ok';
@@ -116,7 +120,7 @@
   }
 }
 
-function describeEnd(end: PlainEnd): string {
+function describeEnd(end: PlainOutcome): string {
   switch (end.type) {
     case 'timed-out':
       return 'The service did not answer in time.';
--- a/packages/router/src/node/meshAdapters.ts
+++ b/packages/router/src/node/meshAdapters.ts
@@ -17,7 +17,7 @@
   ProcedureName,
   ProcedureOutput,
 } from '@flamingocourse/mesh';
-import type { QuarantineExchange, QuarantineNews } from '../types/backendPorts.js';
+import type { QuarantineExchange, QuarantineUpdate } from '../types/backendPorts.js';
 import type { AppendAnswer, MoneyPeerHandler, MoneyPeers, PeerFault } from '../types/moneyPorts.js';
 import type { Fleet } from '../types/fleet.js';
 import type { MeshHints } from './meshHints.js';
@@ -107,7 +107,7 @@
     this.#hints.publish(QUARANTINE_TOPIC, state);
   }
 
-  onNews(listener: (update: QuarantineNews) => void): void {
+  onUpdate(listener: (update: QuarantineUpdate) => void): void {
     this.#hints.on(QUARANTINE_TOPIC, (value) => {
       const state = quarantineSchema.safeParse(value);
       // zod types an absent key as `undefined`; JSON has no such value, so the cast is safe.
--- a/packages/router/src/types/backendPorts.ts
+++ b/packages/router/src/types/backendPorts.ts
@@ -17,7 +17,7 @@
 }
 
 /** What a peer reports about requests that crash their servers. */
-export type QuarantineNews =
+export type QuarantineUpdate =
   /** The complete state of a peer. */
   | { type: 'state'; state: QuarantineState }
   /** One event that a peer observed, with its time by the clock of this process. */
@@ -37,7 +37,7 @@
    */
   quarantined?(fingerprint: Fingerprint, state: QuarantineState): void;
   /** Registers a listener for what peers send. */
-  onNews(listener: (update: QuarantineNews) => void): void;
+  onUpdate(listener: (update: QuarantineUpdate) => void): void;
 }
 
 /** Servers that operators have drained. */
--- a/packages/router/src/types/backends.ts
+++ b/packages/router/src/types/backends.ts
@@ -38,7 +38,7 @@
 }
 
 /** How an attempt ended, as it affects the server's health. */
-export type AttemptEnd =
+export type PlacementOutcome =
   | 'ok'
   | 'failed'
   | 'crashed'
@@ -54,15 +54,15 @@
 export interface Placement {
   server: BackendServer;
   /** Another server that probably has the shared parts of the prompt in its cache. */
-  holder: BackendServer | undefined;
+  promptSource: BackendServer | undefined;
   /** Value of the engine's `priority` field; requests with lower values run first. */
   priority: number;
   /** Releases the place. `firstTokenMs` is the time from the placement to the first token. */
-  end(how: AttemptEnd, firstTokenMs?: number): void;
+  end(how: PlacementOutcome, firstTokenMs?: number): void;
   /** Records that a part of the answer has arrived. */
-  heard(): void;
+  recordReceived(): void;
   /** Records that the server has begun to answer and so has read the prompt. */
-  promptRead(): void;
+  recordPromptRead(): void;
 }
 
 /** Places attempts on backend servers. The service is registered as `backends`. */
--- a/test/gateway/fleet/prepaidFleet.ts
+++ b/test/gateway/fleet/prepaidFleet.ts
@@ -22,7 +22,7 @@
 import { LoanLink } from './loanLink.js';
 import { TestProcess, StoreLink, StoreLoad, LinkFaults } from './storeLink.js';
 
-const noQuarantine = { publish: () => undefined, onNews: () => undefined };
+const noQuarantine = { publish: () => undefined, onUpdate: () => undefined };
 
 /** Size of a fleet and the load of its callers. */
 export interface FleetShape {
--- a/test/gateway/storedCrashCauses.test.ts
+++ b/test/gateway/storedCrashCauses.test.ts
@@ -79,7 +79,7 @@
   const context = testContext(new ManualClock(), new MemoryEventLog(), store);
   const { causes } = await start(t, store);
   const gossip = new GossipService(context, 'life-1', new NoCalls());
-  new SharedQuarantine(context, gossip, causes).onNews(() => undefined);
+  new SharedQuarantine(context, gossip, causes).onUpdate(() => undefined);
   causes.save(cause);
   await settle();
   const { fingerprint } = cause;
--- a/test/routing/brokenConnections.test.ts
+++ b/test/routing/brokenConnections.test.ts
@@ -53,7 +53,7 @@
       notices,
     });
     pool.applyList([server], 0);
-    const exchange = { publish: () => undefined, onNews: () => undefined };
+    const exchange = { publish: () => undefined, onUpdate: () => undefined };
     this.register = new QuarantineRegister(this.clock, this.log, exchange);
     this.lane = new ServiceLane({
       pool,
--- a/test/routing/rateLimitedLane.test.ts
+++ b/test/routing/rateLimitedLane.test.ts
@@ -43,7 +43,7 @@
       chooser: new PowerOfTwoChooser(),
       quarantine: new QuarantineRegister(this.clock, new MemoryEventLog(), {
         publish: () => undefined,
-        onNews: () => undefined,
+        onUpdate: () => undefined,
       }),
       clock: this.clock,
       random: () => 0.5,
