--- a/packages/core/src/runtime/configStore/configStore.ts
+++ b/packages/core/src/runtime/configStore/configStore.ts
@@ -21,7 +21,7 @@
    * Deletions up to this revision may be missing, because lists do not contain them. A peer that
    * asks for changes since an earlier revision gets the complete configuration.
    */
-  floor: number;
+  deltaFloor: number;
 }
 
 /** Update from one source of the configuration. */
@@ -43,7 +43,7 @@
 
 /** Creates an empty store. */
 export function createConfigStore(): ConfigStore {
-  return { objects: new Map(), lastGood: new Map(), asOf: 0, floor: 0 };
+  return { objects: new Map(), lastGood: new Map(), asOf: 0, deltaFloor: 0 };
 }
 
 /** Returns the name of an object in the platform's collection, such as `Service.search`. */
@@ -65,9 +65,9 @@
   const candidates = mergeNewer(store.lastGood, update.lastGood ?? []);
   const lastGood = selectLastGood(objects, candidates);
   // a complete update may omit the deletions between the store's revision and its own.
-  const floor = update.complete && update.asOf > store.asOf ? update.asOf : store.floor;
+  const floor = update.complete && update.asOf > store.asOf ? update.asOf : store.deltaFloor;
   const asOf = Math.max(store.asOf, update.asOf);
-  return dropOldDeletions({ objects, lastGood, asOf, floor });
+  return dropOldDeletions({ objects, lastGood, asOf, deltaFloor: floor });
 }
 
 /**
@@ -80,7 +80,7 @@
   const all = [...store.objects.values()];
   const lastGood = [...store.lastGood.values()].filter((object) => hasNewerVersion(store, object));
   const common = { asOf: store.asOf, ...(lastGood.length > 0 && { lastGood }) };
-  if (since < store.floor) return { ...common, objects: all, complete: true };
+  if (since < store.deltaFloor) return { ...common, objects: all, complete: true };
   const objects = all.filter(({ revision }) => revision > since);
   return { ...common, objects, complete: false };
 }
@@ -152,10 +152,10 @@
   if (deletions.length <= MAX_DELETIONS) return store;
   deletions.sort(([, a], [, b]) => a.revision - b.revision);
   const objects = new Map(store.objects);
-  let { floor } = store;
+  let { deltaFloor: floor } = store;
   for (const [key, { revision }] of deletions.slice(0, deletions.length - MAX_DELETIONS)) {
     objects.delete(key);
     floor = Math.max(floor, revision);
   }
-  return { ...store, objects, floor };
+  return { ...store, objects, deltaFloor: floor };
 }
--- a/packages/core/src/runtime/membership/memberHealth.ts
+++ b/packages/core/src/runtime/membership/memberHealth.ts
@@ -36,7 +36,7 @@
       instanceKey(info) === instanceKey(state.self) || isSuperseded(member, others);
     const health = superseded
       ? 'gone'
-      : healthForSilence(state, asOf - member.heardAt, timeoutFactor);
+      : healthForSilence(state, asOf - member.lastHeardAt, timeoutFactor);
     return { info, health };
   });
 }
@@ -90,7 +90,7 @@
  */
 function isSuperseded(member: KnownMember, incarnations: KnownMember[]): boolean {
   return incarnations.some(
-    (other) => other.firstHeardAt > member.heardAt && other.heardAt > other.firstHeardAt,
+    (other) => other.firstHeardAt > member.lastHeardAt && other.lastHeardAt > other.firstHeardAt,
   );
 }
 
--- a/packages/core/src/runtime/membership/membership.ts
+++ b/packages/core/src/runtime/membership/membership.ts
@@ -101,8 +101,8 @@
   if (known && info.beat <= known.info.beat) return state;
   const members = known ? state.members : evictForNewMember(state, info, now);
   if (!members) return state;
-  const heardAt = Math.max(known?.heardAt ?? 0, now - ageMs);
-  const directAt = ageMs === 0 ? now : known?.directAt;
+  const heardAt = Math.max(known?.lastHeardAt ?? 0, now - ageMs);
+  const directAt = ageMs === 0 ? now : known?.lastDirectAt;
   const member = {
     info,
     firstHeardAt: known?.firstHeardAt ?? heardAt,
@@ -160,8 +160,9 @@
   const paused = gap > state.settings.suspectMs / 2;
   const members: Record<IncarnationId, KnownMember> = {};
   for (const [incarnation, member] of Object.entries(state.members)) {
-    const heardAt = paused ? Math.min(now, member.heardAt + gap) : member.heardAt;
-    if (now - heardAt < GONE_MEMBER_TTL_MS) members[incarnation] = { ...member, heardAt };
+    const heardAt = paused ? Math.min(now, member.lastHeardAt + gap) : member.lastHeardAt;
+    if (now - heardAt < GONE_MEMBER_TTL_MS)
+      members[incarnation] = { ...member, lastHeardAt: heardAt };
   }
   const self = { ...state.self, beat: state.self.beat + 1 };
   return { ...state, self, members, lastTickAt: now };
@@ -217,7 +218,7 @@
 ): ReadonlySet<string> {
   const members = Object.values(state.members);
   const heardWithin = (member: KnownMember, beats: number): boolean =>
-    member.directAt !== undefined && now - member.directAt < beats * heartbeatMs;
+    member.lastDirectAt !== undefined && now - member.lastDirectAt < beats * heartbeatMs;
   const heardCentres = new Set(
     members
       .filter((member) => heardWithin(member, REMOTE_EXCHANGE_BEATS))
@@ -245,7 +246,7 @@
   const size = localCount <= FULL_MESH_LIMIT ? MAX_FULL_MESH_DIGEST : MAX_DIGEST;
   const turn = rotate(living, beat * size).slice(0, size);
   const named = [...new Set([...introduced, ...turn])].slice(0, size);
-  const digest = named.map(({ info, heardAt }) => ({
+  const digest = named.map(({ info, lastHeardAt: heardAt }) => ({
     incarnation: info.incarnation,
     beat: info.beat,
     ageMs: Math.max(0, now - heardAt),
@@ -283,10 +284,10 @@
   const limit = dataCentre === state.self.dataCentre ? MAX_ENTRIES : MAX_PER_REMOTE_CENTRE;
   const present = Object.values(state.members)
     .filter((member) => member.info.dataCentre === dataCentre)
-    .sort((a, b) => a.heardAt - b.heardAt);
+    .sort((a, b) => a.lastHeardAt - b.lastHeardAt);
   if (present.length < limit) return state.members;
   const oldest = present[0];
-  if (!oldest || now - oldest.heardAt < state.settings.goneMs) return undefined;
+  if (!oldest || now - oldest.lastHeardAt < state.settings.goneMs) return undefined;
   const members = { ...state.members };
   Reflect.deleteProperty(members, oldest.info.incarnation);
   return members;
--- a/packages/core/src/types/membership.ts
+++ b/packages/core/src/types/membership.ts
@@ -17,9 +17,9 @@
   /** Time of the first evidence that the peer was alive, by this router's clock. */
   firstHeardAt: EpochMs;
   /** Time of the last such evidence, direct or through another peer, by the same clock. */
-  heardAt: EpochMs;
+  lastHeardAt: EpochMs;
   /** When the peer itself last sent a heartbeat or answered one. */
-  directAt?: EpochMs;
+  lastDirectAt?: EpochMs;
 }
 
 /** All that a router knows about the other routers. */
--- a/test/fleet/membership.test.ts
+++ b/test/fleet/membership.test.ts
@@ -159,7 +159,7 @@
       members: [],
     };
     const state = observeHeartbeat(membershipOf([far(4)], 0), message, 10_000);
-    assert.equal(state.members[far(1).incarnation]?.heardAt, 7_000);
+    assert.equal(state.members[far(1).incarnation]?.lastHeardAt, 7_000);
     assert.equal(state.members[far(1).incarnation]?.info.beat, 5);
   });
 
--- a/test/mesh/configuration.test.ts
+++ b/test/mesh/configuration.test.ts
@@ -329,7 +329,7 @@
     const store = updates.reduce(mergeUpdate, createConfigStore());
     assert.deepEqual(existing(store), exist);
     assert.equal(store.asOf, asOf);
-    assert.equal(store.floor, floor);
+    assert.equal(store.deltaFloor, floor);
   });
 }
 
