--- a/packages/gateway/src/node/backendLanes.ts
+++ b/packages/gateway/src/node/backendLanes.ts
@@ -14,7 +14,7 @@
   ServerPool,
   createServerChooser,
 } from '@flamingocourse/core';
-import { Service, pendingReads } from '@flamingocourse/kernel';
+import { Service, waitForPendingReads } from '@flamingocourse/kernel';
 import { QuarantineRegister, ServiceLane } from '@flamingocourse/router';
 import { ConfigurationWatch } from './configurationWatch.js';
 import { ServerDirectory } from './serverDirectory.js';
@@ -114,7 +114,7 @@
     });
     this.#timer = setInterval(() => {
       // data from a server may already have arrived but not been read before this iteration.
-      void pendingReads().then(() => {
+      void waitForPendingReads().then(() => {
         this.#check();
       });
     }, CHECK_INTERVAL_MS);
--- a/packages/gateway/src/node/configurationWatch.ts
+++ b/packages/gateway/src/node/configurationWatch.ts
@@ -68,7 +68,7 @@
     const { store, dialects, settings } = this.#context;
     this.#subscription = store.watch(dialects.configuration, {
       idleMs: settings.store.configurationIdleMs - WATCH_REOPEN_MS,
-      gatherMs: CONFIGURATION_BATCH_MS,
+      batchMs: CONFIGURATION_BATCH_MS,
       onEvent: (event) => {
         try {
           this.#onEvent(event);
@@ -76,7 +76,7 @@
           kernel.reportFailure(err, this.name);
         }
       },
-      onHeard: () => {
+      onUpToDate: () => {
         this.#reachability.recordAnswer();
       },
       onBreak: (reason) => {
--- a/packages/gateway/src/node/connectionCheck.ts
+++ b/packages/gateway/src/node/connectionCheck.ts
@@ -6,7 +6,7 @@
 import type { ServerAgent } from './serverAgent.js';
 import { connect } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
-import { onTimeOver, pendingReads } from '@flamingocourse/kernel';
+import { onTimeout, waitForPendingReads } from '@flamingocourse/kernel';
 import { CrashCheck } from '@flamingocourse/router';
 
 /** Connection timeout, in milliseconds. An unreachable server does not count as ended. */
@@ -46,10 +46,10 @@
    * not at the same moment, so the check is repeated.
    */
   async #staysConnected(host: string, port: string): Promise<boolean> {
-    await pendingReads();
+    await waitForPendingReads();
     for (let checks = 1; checks < CHECKS && this.#agent.isConnectedTo(host, port); checks += 1) {
       await delay(CHECK_INTERVAL_MS);
-      await pendingReads();
+      await waitForPendingReads();
     }
     return this.#agent.isConnectedTo(host, port);
   }
@@ -63,7 +63,7 @@
       resolve(how);
       socket.destroy();
     };
-    const stopTimer = onTimeOver(CONNECT_MS, () => {
+    const stopTimer = onTimeout(CONNECT_MS, () => {
       end('unreachable');
     });
     socket.once('connect', () => {
--- a/packages/gateway/src/node/entryService.ts
+++ b/packages/gateway/src/node/entryService.ts
@@ -11,7 +11,7 @@
 import type { FlowParts, RoutedCall } from '../types/requestRun.js';
 import { createServer } from 'node:http';
 import { pickTarget } from '@flamingocourse/core';
-import { Service, describeError, onTimeOver, pendingReads } from '@flamingocourse/kernel';
+import { Service, describeError, onTimeout, waitForPendingReads } from '@flamingocourse/kernel';
 import { ArrivalWatch } from './arrivalWatch.js';
 import { BackendLanes } from './backendLanes.js';
 import { CallerAnswer } from './callerAnswer.js';
@@ -227,10 +227,10 @@
     const abort = (): void => {
       controller.abort();
     };
-    const stopTimer = onTimeOver(endsAt - this.#context.clock.now(), abort);
+    const stopTimer = onTimeout(endsAt - this.#context.clock.now(), abort);
     answer.onCallerGone(abort);
     // under event loop lag, the request may belong to a caller that has already disconnected.
-    await pendingReads();
+    await waitForPendingReads();
     if (answer.callerGone) abort();
     const flow = new RequestFlow(this.#flowParts(), { ...call, endsAt, signal: controller.signal });
     try {
--- a/packages/gateway/src/node/httpAttempt.ts
+++ b/packages/gateway/src/node/httpAttempt.ts
@@ -4,7 +4,7 @@
 import type { Socket } from 'node:net';
 import type { ServerHead } from '../types/call.js';
 import { request } from 'node:http';
-import { onTimeOver, pendingReads } from '@flamingocourse/kernel';
+import { onTimeout, waitForPendingReads } from '@flamingocourse/kernel';
 import { Result } from 'true-myth';
 
 /** A request to send to a server. */
@@ -95,10 +95,10 @@
     };
     // a server without power never refuses a connection: only this timeout allows a retry
     // elsewhere.
-    const stopConnectTimer = onTimeOver(attempt.connectMs, () => {
+    const stopConnectTimer = onTimeout(attempt.connectMs, () => {
       if (req.socket?.connecting !== false) fail('not-connected', 'connect timeout');
     });
-    const stopHeadTimer = onTimeOver(attempt.headMs, () => {
+    const stopHeadTimer = onTimeout(attempt.headMs, () => {
       fail('timeout', 'response timeout');
     });
     signal.addEventListener('abort', abort, { once: true });
@@ -147,7 +147,7 @@
 
 /** Calls `listener` when the connection is open and all data that arrived by then has been read. */
 function onceConnected(req: ClientRequest, listener: () => void): void {
-  const connected = (): void => void pendingReads().then(listener);
+  const connected = (): void => void waitForPendingReads().then(listener);
   req.once('socket', (socket: Socket) => {
     if (socket.connecting) socket.once('connect', connected);
     else connected();
--- a/packages/gateway/src/node/serverDirectory.ts
+++ b/packages/gateway/src/node/serverDirectory.ts
@@ -104,7 +104,7 @@
   override start(kernel: Kernel): void {
     const { store, dialects } = this.#context;
     this.#subscription = store.watch(dialects.serverList, {
-      gatherMs: SERVER_LIST_BATCH_MS,
+      batchMs: SERVER_LIST_BATCH_MS,
       onEvent: (event) => {
         try {
           this.#onEvent(event);
@@ -112,7 +112,7 @@
           kernel.reportFailure(err, this.name);
         }
       },
-      onHeard: () => {
+      onUpToDate: () => {
         this.#reachability.recordAnswer({ servers: this.#servers.size });
       },
       onBreak: (reason) => {
--- a/packages/kernel/src/node/httpExchange.ts
+++ b/packages/kernel/src/node/httpExchange.ts
@@ -3,7 +3,7 @@
 import type { Agent, IncomingHttpHeaders } from 'node:http';
 import { request } from 'node:http';
 import { Result } from 'true-myth';
-import { onTimeOver } from './timeLimit.js';
+import { onTimeout } from './timeLimit.js';
 
 /** A request to send. */
 export interface HttpCall {
@@ -54,7 +54,7 @@
     };
     // one timer for the whole exchange, so that a peer that sends single bytes slowly also times
     // out.
-    const stopTimer = onTimeOver(call.timeoutMs, () => {
+    const stopTimer = onTimeout(call.timeoutMs, () => {
       fail('timeout');
     });
     req.on('error', (err) => {
--- a/packages/kernel/src/node/timeLimit.ts
+++ b/packages/kernel/src/node/timeLimit.ts
@@ -1,6 +1,6 @@
 /** Timeouts that do not expire for data that has arrived but is not read yet. */
 
-import { pendingReads } from './pendingReads.js';
+import { waitForPendingReads } from './waitForPendingReads.js';
 
 /** An abort signal with a timeout. */
 export interface TimeLimit {
@@ -20,14 +20,14 @@
  * @param ms Undefined for no timeout.
  * @returns A function that stops the timer.
  * @example
- * const stop = onTimeOver(1_500, () => fail('timeout'));
+ * const stop = onTimeout(1_500, () => fail('timeout'));
  * req.on('response', stop);
  */
-export function onTimeOver(ms: number | undefined, listener: () => void): () => void {
+export function onTimeout(ms: number | undefined, listener: () => void): () => void {
   if (ms === undefined) return () => undefined;
   let stopped = false;
   const timer = setTimeout(() => {
-    void pendingReads().then(() => {
+    void waitForPendingReads().then(() => {
       if (!stopped) listener();
     });
   }, ms);
@@ -46,7 +46,7 @@
  */
 export function startTimeLimit(ms: number, signal?: AbortSignal): TimeLimit {
   const controller = new AbortController();
-  const end = onTimeOver(ms, () => {
+  const end = onTimeout(ms, () => {
     controller.abort();
   });
   return {
--- a/packages/kernel/src/node/pendingReads.ts
+++ b/packages/kernel/src/node/waitForPendingReads.ts
@@ -6,10 +6,10 @@
  * iterations.
  *
  * @example
- * await pendingReads();
+ * await waitForPendingReads();
  * if (answer.gone) return { type: 'gone' };
  */
-export function pendingReads(): Promise<void> {
+export function waitForPendingReads(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(() => setImmediate(resolve));
   });
--- a/packages/mesh/src/node/meshServer.ts
+++ b/packages/mesh/src/node/meshServer.ts
@@ -89,7 +89,7 @@
    * Sets the check for incarnations of this process; calls meant for other incarnations are
    * refused.
    */
-  recogniseSelf(isSelf: (incarnation: string) => boolean): void {
+  setIncarnationCheck(isSelf: (incarnation: string) => boolean): void {
     this.#isSelf = isSelf;
   }
 
--- a/packages/router/src/node/fleet/fleetService.ts
+++ b/packages/router/src/node/fleet/fleetService.ts
@@ -73,7 +73,7 @@
 
   override async start(kernel: Kernel): Promise<void> {
     const server = kernel.get('mesh', MeshServer);
-    server.recogniseSelf((incarnation) => this.#ownIncarnations.includes(incarnation));
+    server.setIncarnationCheck((incarnation) => this.#ownIncarnations.includes(incarnation));
     server.handle('heartbeat', (message) => {
       this.#table.observe(unpackHeartbeat(message), this.#now());
       return Result.ok(packHeartbeat(this.#table.compose(this.#now())));
--- a/packages/store/src/node/httpObjectStore.ts
+++ b/packages/store/src/node/httpObjectStore.ts
@@ -15,7 +15,12 @@
   VersionedObject,
   WatchOptions,
 } from '../types/objects.js';
-import type { ListPage, StoreDialect, StoreRequest, WatchEnd } from '../runtime/storeDialect.js';
+import type {
+  ListPage,
+  StoreDialect,
+  StoreRequest,
+  WatchEndReason,
+} from '../runtime/storeDialect.js';
 import { Agent } from 'node:http';
 import { exchange, SystemClock } from '@flamingocourse/kernel';
 import { Result } from 'true-myth';
@@ -29,7 +34,7 @@
 import { PlatformError } from '../utils/platformError.js';
 import { ObjectApiDialect } from './objectApiDialect.js';
 import { ObjectWatch } from './objectWatch.js';
-import { RecoveryProbe } from './returnProbe.js';
+import { RecoveryProbe } from './recoveryProbe.js';
 import {
   checkObject,
   faultToError,
@@ -69,7 +74,7 @@
 /** Timeout of a probe in milliseconds; a store that is merely slow answers within it. */
 const PROBE_TIMEOUT_MS = 1_000;
 /** Reasons for the end of a watch that may mean an outage of the store. */
-const OUTAGE_REASONS: ReadonlySet<WatchEnd> = new Set(['silent', 'broken', 'refused']);
+const OUTAGE_REASONS: ReadonlySet<WatchEndReason> = new Set(['silent', 'broken', 'refused']);
 
 type Request = StoreRequest & { kind: CallKind };
 
--- a/packages/store/src/node/objectApiDialect.ts
+++ b/packages/store/src/node/objectApiDialect.ts
@@ -8,7 +8,7 @@
   ListPage,
   StoreRequest,
   WatchCall,
-  WatchEnd,
+  WatchEndReason,
   WireChange,
   WireObject,
 } from '../runtime/storeDialect.js';
@@ -72,7 +72,7 @@
     return statusToError(kind, answer);
   }
 
-  override follow(call: WatchCall): Promise<WatchEnd> {
+  override follow(call: WatchCall): Promise<WatchEndReason> {
     const url = new URL(collectionPath(call.collection), call.url);
     url.searchParams.set('watch', 'true');
     url.searchParams.set('resourceVersion', call.version);
--- a/packages/store/src/node/objectWatch.ts
+++ b/packages/store/src/node/objectWatch.ts
@@ -7,7 +7,7 @@
 import type { Agent } from 'node:http';
 import type { PlatformResult } from '../runtime/objectStore.js';
 import type { Collection, ObjectList, WatchOptions } from '../types/objects.js';
-import type { StoreDialect, WatchEnd, WireChange } from '../runtime/storeDialect.js';
+import type { StoreDialect, WatchEndReason, WireChange } from '../runtime/storeDialect.js';
 import { awaitPromise, Channel, startProcess, takeWithin } from '@flamingocourse/kernel';
 import { backOffMs } from '../runtime/backOff.js';
 import { latestChanges } from '../runtime/latestChanges.js';
@@ -31,7 +31,7 @@
   onOpen: () => void;
   /** Called when the store sent something to this watch. */
   onAnswer: (watch: ObjectWatch<T>) => void;
-  onBreak: (end: WatchEnd) => void;
+  onBreak: (end: WatchEndReason) => void;
   onFailure: (err: unknown) => void;
 }
 
@@ -93,7 +93,7 @@
     this.#hasChanged = false;
     this.#batchPauseMs = 0;
     if (this.#failures > 0) return backOffMs(this.#failures - 1, backOff, this.ports.random);
-    if (changed) this.#batchPauseMs = this.options.gatherMs ?? 0;
+    if (changed) this.#batchPauseMs = this.options.batchMs ?? 0;
     return this.#batchPauseMs;
   }
 
@@ -107,7 +107,7 @@
     this.#version = list.value.version;
     this.#failures = 0;
     this.options.onEvent({ type: 'listed', list: list.value });
-    this.options.onHeard?.();
+    this.options.onUpToDate?.();
   }
 
   async #follow(): Promise<void> {
@@ -130,7 +130,7 @@
     this.#handleEnd(end);
   }
 
-  #handleEnd(end: WatchEnd): void {
+  #handleEnd(end: WatchEndReason): void {
     if (end === 'stopped' || end === 'answered') return;
     // too-old: the platform's history no longer has the missed changes. silent: a platform that
     // keeps watches open, even new ones, and sends nothing would hide all changes. A list contains
@@ -160,6 +160,6 @@
       if (checked.isOk) this.options.onEvent({ type: 'changed', object: checked.value });
       else this.options.onEvent({ type: 'invalid', name: change.object.name, version });
     }
-    this.options.onHeard?.();
+    this.options.onUpToDate?.();
   }
 }
--- a/packages/store/src/node/watchConnection.ts
+++ b/packages/store/src/node/watchConnection.ts
@@ -3,7 +3,7 @@
  */
 
 import type { Agent, IncomingMessage } from 'node:http';
-import type { WatchEnd } from '../runtime/storeDialect.js';
+import type { WatchEndReason } from '../runtime/storeDialect.js';
 import { request } from 'node:http';
 
 /** Options of one connection. */
@@ -22,10 +22,10 @@
 const statusThrottled = 429;
 
 /** Reads one connection to its end; never rejects. */
-export function streamLines(call: LineStreamOptions): Promise<WatchEnd> {
+export function streamLines(call: LineStreamOptions): Promise<WatchEndReason> {
   return new Promise((resolve) => {
     const req = request(call.url, { agent: call.agent });
-    const finish = (end: WatchEnd): void => {
+    const finish = (end: WatchEndReason): void => {
       clearTimeout(idleTimer);
       call.signal.removeEventListener('abort', stop);
       resolve(end);
@@ -54,7 +54,7 @@
   });
 }
 
-function classifyRefusal(status: number): WatchEnd | undefined {
+function classifyRefusal(status: number): WatchEndReason | undefined {
   if (status === statusTooOld) return 'too-old';
   if (status === statusThrottled) return 'throttled';
   return status === 200 ? undefined : 'refused';
@@ -64,7 +64,7 @@
   res: IncomingMessage,
   call: LineStreamOptions,
   idleTimer: NodeJS.Timeout,
-  finish: (end: WatchEnd) => void,
+  finish: (end: WatchEndReason) => void,
 ): void {
   let rest = '';
   res.setEncoding('utf8');
--- a/packages/store/src/runtime/storeDialect.ts
+++ b/packages/store/src/runtime/storeDialect.ts
@@ -39,7 +39,7 @@
  * Why a watch connection ended. `answered`: all changes were delivered; the next call continues
  * after them.
  */
-export type WatchEnd =
+export type WatchEndReason =
   'answered' | 'ended' | 'stopped' | 'too-old' | 'throttled' | 'refused' | 'broken' | 'silent';
 
 /** Options of a watch connection. */
@@ -74,5 +74,5 @@
   abstract toError(kind: CallKind, answer: HttpAnswer): PlatformError;
 
   /** Receives changes over one connection until it ends; never rejects. */
-  abstract follow(call: WatchCall): Promise<WatchEnd>;
+  abstract follow(call: WatchCall): Promise<WatchEndReason>;
 }
--- a/packages/store/src/types/objects.ts
+++ b/packages/store/src/types/objects.ts
@@ -61,10 +61,10 @@
    * Milliseconds that the watch pauses after changes. For stores that answer a call as soon as
    * there is one change: changes made close together then arrive in one answer. @default 0
    */
-  gatherMs?: number;
+  batchMs?: number;
   onEvent: (event: WatchEvent<T>) => void;
   /** Called whenever the store confirms that all changes so far were delivered. */
-  onHeard?: () => void;
+  onUpToDate?: () => void;
   /** Called when the watch fails; it is retried after a back-off. */
   onBreak?: (reason: string) => void;
 }
--- a/test/gateway/fleet/storeLink.ts
+++ b/test/gateway/fleet/storeLink.ts
@@ -161,9 +161,9 @@
 
   override watch<T>(collection: Collection<T>, options: WatchOptions<T>): Subscription {
     const subscription = this.#objects.watch(collection, options);
-    options.onHeard?.();
+    options.onUpToDate?.();
     const timer = setInterval(() => {
-      if (!this.#process.faults.isStoreCut) options.onHeard?.();
+      if (!this.#process.faults.isStoreCut) options.onUpToDate?.();
     }, WATCH_SIGNAL_MS);
     return {
       stop: () => {
--- a/test/mesh/mesh.test.ts
+++ b/test/mesh/mesh.test.ts
@@ -38,7 +38,7 @@
   options: Partial<MeshServerOptions> = {},
 ): Promise<{ server: MeshServer; target: MeshTarget }> {
   const server = new MeshServer({ host: '127.0.0.1', port: 0, ...options });
-  server.recogniseSelf((incarnation) => incarnation === self);
+  server.setIncarnationCheck((incarnation) => incarnation === self);
   const kernel = new Kernel().register(server);
   await kernel.start();
   t.after(() => kernel.stop());
--- a/test/store/returnProbe.test.ts
+++ b/test/store/recoveryProbe.test.ts
@@ -1,8 +1,8 @@
-import type { WatchEnd } from '@flamingocourse/store';
+import type { WatchEndReason } from '@flamingocourse/store';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 import { ObjectApiDialect } from '@flamingocourse/store';
-import { RecoveryProbe } from '../../packages/store/src/node/returnProbe.js';
+import { RecoveryProbe } from '../../packages/store/src/node/recoveryProbe.js';
 import { connect, notes, startStandIn, until } from './fixtures.js';
 
 describe('a probe for the recovery of the store', () => {
@@ -59,7 +59,7 @@
       let confirmations = 0;
       store.watch(notes, {
         onEvent: () => undefined,
-        onHeard: () => (confirmations += 1),
+        onUpToDate: () => (confirmations += 1),
         onBreak: (reason) => breaks.push(reason),
       });
       await until('listed', () => confirmations > 0);
@@ -82,7 +82,7 @@
 class UnusableAnswerDialect extends ObjectApiDialect {
   follows = 0;
 
-  override follow(): Promise<WatchEnd> {
+  override follow(): Promise<WatchEndReason> {
     this.follows += 1;
     return Promise.resolve('broken');
   }
--- a/test/store/watch.test.ts
+++ b/test/store/watch.test.ts
@@ -1,4 +1,4 @@
-import type { WatchCall, WatchEnd, WatchEvent } from '@flamingocourse/store';
+import type { WatchCall, WatchEndReason, WatchEvent } from '@flamingocourse/store';
 import type { Note } from './fixtures.js';
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -44,7 +44,7 @@
 class OneChangeDialect extends ObjectApiDialect {
   readonly idleMs: number[] = [];
 
-  override follow(call: WatchCall): Promise<WatchEnd> {
+  override follow(call: WatchCall): Promise<WatchEndReason> {
     this.idleMs.push(call.idleMs);
     if (this.idleMs.length > 1) return new Promise(() => undefined);
     call.onChanges([{ type: 'removed', name: 'a' }], '2');
@@ -58,7 +58,7 @@
 test('the idle time of a watch includes the pause in which changes are batched', async (t) => {
   const dialect = new OneChangeDialect();
   const store = connect(t, 'http://127.0.0.1:1', { dialect });
-  const options = { from: '1', idleMs: 2_400, gatherMs: 20, onEvent: () => undefined };
+  const options = { from: '1', idleMs: 2_400, batchMs: 20, onEvent: () => undefined };
   const watch = store.watch(notes, options);
   await until('two calls', () => dialect.idleMs.length === 2);
   watch.stop();
@@ -69,7 +69,7 @@
 class VersionStormDialect extends ObjectApiDialect {
   #isDelivered = false;
 
-  override follow(call: WatchCall): Promise<WatchEnd> {
+  override follow(call: WatchCall): Promise<WatchEndReason> {
     if (this.#isDelivered) return new Promise(() => undefined);
     this.#isDelivered = true;
     const versions = [2, 3, 4, 5, 6].map(String);
@@ -117,7 +117,7 @@
   const platform = await startStandIn(t, { bookmarkMs: 20 });
   const store = connect(t, platform.urls['dc-a']);
   let confirmations = 0;
-  store.watch(notes, { onEvent: () => undefined, onHeard: () => (confirmations += 1) });
+  store.watch(notes, { onEvent: () => undefined, onUpToDate: () => (confirmations += 1) });
   await until('confirmed several times', () => confirmations >= 4);
 });
 
