--- a/packages/lab/src/node/demo/runDemo.ts
+++ b/packages/lab/src/node/demo/runDemo.ts
@@ -4,14 +4,14 @@
 import type { DemoOptions, DemoResult } from '../../types/demo.js';
 import type { LoadResult } from '../../types/load.js';
 import type { PlatformStandIn } from '../platformStandIn/index.js';
-import type { Backends } from './startBackends.js';
+import type { RunningBackends } from './startBackends.js';
 import { once } from 'node:events';
 import { setTimeout as delay } from 'node:timers/promises';
 import { declaredLoad } from '../../runtime/declaredLoad.js';
 import { createDemoReport, findViolations } from '../../runtime/demoReport.js';
 import { deployments, routerSlots } from '../../runtime/deployments.js';
 import { auditEntries } from '../../runtime/entryAudit.js';
-import { readSpend } from '../../runtime/spend.js';
+import { computeSpend } from '../../runtime/spend.js';
 import { FleetRunner } from '../fleetRunner/index.js';
 import { runLoad } from '../loadGenerator/index.js';
 import { createPlatformStandIn } from '../platformStandIn/index.js';
@@ -25,7 +25,7 @@
 /** Components of a running deployment, in start order; they are stopped in reverse order. */
 interface RunningDeployment {
   platform: PlatformStandIn;
-  backends: Backends;
+  backends: RunningBackends;
   fleet: FleetRunner;
 }
 
@@ -111,7 +111,7 @@
   const figures = {
     deployment: options.deployment,
     load,
-    spend: readSpend(
+    spend: computeSpend(
       readValues<LedgerPage>(platform, 'ledgers'),
       readValues<JournalState>(platform, 'journals'),
     ),
--- a/packages/lab/src/node/demo/startBackends.ts
+++ b/packages/lab/src/node/demo/startBackends.ts
@@ -10,7 +10,7 @@
 import { createPlainServiceStandIn, createServiceRecords } from '../plainServiceStandIn/index.js';
 
 /** Running backend servers. */
-export interface Backends {
+export interface RunningBackends {
   engines: EngineStandIn[];
   plainServices: PlainServiceStandIn[];
   /** Combined records of all plain services. */
@@ -26,8 +26,8 @@
  * @example
  * const backends = await startBackends(deployments['tsagaan-deel'], 1);
  */
-export async function startBackends(plan: DeploymentPlan, seed: number): Promise<Backends> {
-  const backends: Backends = {
+export async function startBackends(plan: DeploymentPlan, seed: number): Promise<RunningBackends> {
+  const backends: RunningBackends = {
     engines: [],
     plainServices: [],
     records: createServiceRecords(),
@@ -45,7 +45,7 @@
   plan: DeploymentPlan,
   service: ServicePlan,
   seed: number,
-  backends: Backends,
+  backends: RunningBackends,
 ): Promise<void> {
   const instances: InstanceRecord[] = [];
   for (let index = 0; index < service.servers; index += 1) {
@@ -60,7 +60,11 @@
   backends.instances.set(service.name, instances);
 }
 
-async function startServer(service: ServicePlan, seed: number, to: Backends): Promise<string> {
+async function startServer(
+  service: ServicePlan,
+  seed: number,
+  to: RunningBackends,
+): Promise<string> {
   if (service.type === 'model') {
     const engine = await createEngineStandIn({ seed });
     to.engines.push(engine);
--- a/packages/lab/src/node/engineStandIn/engineStandIn.ts
+++ b/packages/lab/src/node/engineStandIn/engineStandIn.ts
@@ -10,7 +10,7 @@
 } from '../../types/engineStandIn.js';
 import type { ChatRequest } from './chatRequest.js';
 import { countPromptTokens, planAnswer, splitWords } from '../../runtime/answerText.js';
-import { LateReport } from '../../runtime/lateReport.js';
+import { DelayedValues } from '../../runtime/delayedValues.js';
 import { PrefixCache } from '../../runtime/prefixCache.js';
 import { createRandom } from '../../runtime/random.js';
 import { NO_ENGINE_FAULTS } from '../../types/engineStandIn.js';
@@ -64,8 +64,8 @@
   };
   readonly #options: typeof DEFAULTS & EngineStandInOptions;
   readonly #random: Random;
-  readonly #loads: LateReport<LoadReport>;
-  readonly #events: LateReport<CacheEvent>;
+  readonly #loads: DelayedValues<LoadReport>;
+  readonly #events: DelayedValues<CacheEvent>;
   #faults: EngineFaults;
   #scheduler: BatchScheduler;
   #cache: PrefixCache;
@@ -83,8 +83,8 @@
     this.#faults = { ...NO_ENGINE_FAULTS, ...options.faults };
     this.#random = createRandom(this.#options.seed);
     const samples = Math.ceil(this.#options.loadLagMs / LOAD_SAMPLE_MS) + 2;
-    this.#loads = new LateReport(this.#options.loadLagMs, samples);
-    this.#events = new LateReport(this.#options.cacheEventLagMs, MAX_CACHE_EVENTS);
+    this.#loads = new DelayedValues(this.#options.loadLagMs, samples);
+    this.#events = new DelayedValues(this.#options.cacheEventLagMs, MAX_CACHE_EVENTS);
     this.#scheduler = this.#createScheduler();
     this.#cache = this.#createCache();
   }
--- a/packages/lab/src/node/plainServiceStandIn/plainServiceStandIn.ts
+++ b/packages/lab/src/node/plainServiceStandIn/plainServiceStandIn.ts
@@ -9,7 +9,7 @@
   ServiceRun,
 } from '../../types/plainServiceStandIn.js';
 import { setTimeout as delay } from 'node:timers/promises';
-import { LateReport } from '../../runtime/lateReport.js';
+import { DelayedValues } from '../../runtime/delayedValues.js';
 import { createRandom } from '../../runtime/random.js';
 import { NO_SERVICE_FAULTS } from '../../types/plainServiceStandIn.js';
 import {
@@ -36,7 +36,7 @@
   readonly records: ServiceRecords;
   readonly #options: typeof DEFAULTS & PlainServiceStandInOptions;
   readonly #random: Random;
-  readonly #loads: LateReport<LoadReport>;
+  readonly #loads: DelayedValues<LoadReport>;
   #faults: PlainServiceFaults;
   #running = 0;
   #served = 0;
@@ -48,7 +48,7 @@
     this.#faults = { ...NO_SERVICE_FAULTS, ...options.faults };
     this.#random = createRandom(this.#options.seed);
     const samples = Math.ceil(this.#options.loadLagMs / LOAD_SAMPLE_MS) + 2;
-    this.#loads = new LateReport(this.#options.loadLagMs, samples);
+    this.#loads = new DelayedValues(this.#options.loadLagMs, samples);
     this.records = options.records ?? createServiceRecords();
   }
 
--- a/packages/lab/src/node/prove/loadPhase.ts
+++ b/packages/lab/src/node/prove/loadPhase.ts
@@ -7,7 +7,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { auditEntries } from '../../runtime/entryAudit.js';
 import { skewedWeights } from '../../runtime/loadPlan.js';
-import { findQuietFaults } from '../../runtime/prove/moneyAudit.js';
+import { findQuiescentFaults } from '../../runtime/prove/moneyAudit.js';
 import { runLoad } from '../loadGenerator/index.js';
 import { CallerLog } from './callerLog.js';
 import { proveAccounts, proveMix, TIGHT_ACCOUNTS, TIGHT_TOKENS } from './proveDeclarations.js';
@@ -131,7 +131,7 @@
 async function waitForQuiet(stage: ProveStage): Promise<{ faults: string[]; afterMs: number }> {
   const startedAt = performance.now();
   for (;;) {
-    const faults = findQuietFaults(readMoney(stage.platform), readBills(stage.platform));
+    const faults = findQuiescentFaults(readMoney(stage.platform), readBills(stage.platform));
     const afterMs = Math.round(performance.now() - startedAt);
     if (faults.length === 0 || afterMs > QUIET_TIMEOUT_MS) return { faults, afterMs };
     await delay(QUIET_POLL_MS);
--- a/packages/lab/src/node/prove/proveStage.ts
+++ b/packages/lab/src/node/prove/proveStage.ts
@@ -3,7 +3,7 @@
 import type { Bill, BillSegment, JournalState, LedgerPage } from '@flamingocourse/core';
 import type { DeploymentPlan } from '../../runtime/deployments.js';
 import type { MoneyView } from '../../runtime/prove/moneyAudit.js';
-import type { Backends } from '../demo/index.js';
+import type { RunningBackends } from '../demo/index.js';
 import type { PlatformStandIn } from '../platformStandIn/index.js';
 import type { OperatorEnd } from './operatorCommand.js';
 import { routerSlots } from '../../runtime/deployments.js';
@@ -22,7 +22,7 @@
 export interface ProveStage {
   plan: DeploymentPlan;
   platform: PlatformStandIn;
-  backends: Backends;
+  backends: RunningBackends;
   network: Network;
   fleet: FleetRunner;
   directory: string;
@@ -104,7 +104,7 @@
 }
 
 async function relayBackends(
-  backends: Backends,
+  backends: RunningBackends,
   network: Network,
   platform: PlatformStandIn,
 ): Promise<void> {
--- a/packages/lab/src/runtime/lateReport.ts
+++ b/packages/lab/src/runtime/delayedValues.ts
@@ -1,7 +1,7 @@
 /** Values that become visible after a delay, like the load and cache events of a model engine. */
 
 /** Stores the most recent values and makes each visible after `lagMs`. */
-export class LateReport<T> {
+export class DelayedValues<T> {
   readonly #lagMs: number;
   readonly #capacity: number;
   readonly #entries: { at: number; value: T }[] = [];
--- a/packages/lab/src/runtime/naive/naiveFleet.ts
+++ b/packages/lab/src/runtime/naive/naiveFleet.ts
@@ -8,7 +8,7 @@
  * Answers each key once and bills it immediately.
  *
  * @example
- * new NaiveFleet(100).handle({ type: 'request', router: 0, key: 3, dies: 'none' }); // 'answered'
+ * new NaiveFleet(100).handle({ type: 'request', router: 0, key: 3, crashPoint: 'none' }); // 'answered'
  */
 export class NaiveFleet {
   readonly billed = new Map<number, Tokens>();
--- a/packages/lab/src/runtime/naive/reducerFleet.ts
+++ b/packages/lab/src/runtime/naive/reducerFleet.ts
@@ -5,7 +5,7 @@
 
 import type { IncarnationId, JournalChange, TicketId, Tokens } from '@flamingocourse/core';
 import type { ReducerRouter } from './reducerRouter.js';
-import type { DeathPoint, FleetEvent, Outcome, RequestEvent } from './types.js';
+import type { CrashPoint, FleetEvent, Outcome, RequestEvent } from './types.js';
 import { Spender, claim, hasInterval, storeLines, pool, takeOver } from '@flamingocourse/core';
 import { LabError } from '../../utils/labError.js';
 import { createRouter } from './reducerRouter.js';
@@ -77,7 +77,7 @@
     return this.store.claims.claims[`key-${key}`]?.ticket ?? this.#tickets.get(key);
   }
 
-  #request({ router: index, key, dies }: RequestEvent): Outcome {
+  #request({ router: index, key, crashPoint }: RequestEvent): Outcome {
     const router = this.#router(index);
     this.#sync(router);
     // A router that cannot look up the key does not know whether another router ran the request.
@@ -85,21 +85,21 @@
     const outcome = router.outcomes.get(key);
     if (outcome) return outcome;
     const ticket: TicketId = { issuer: router.spender.holder, number: key };
-    if (hasTicket(key)) return this.#runTicket(router, ticket, dies);
-    if (!isNonIdempotent(key)) return this.#run(router, ticket, dies);
-    return this.#claimBeforeDispatch(router, ticket) ?? this.#run(router, ticket, dies);
+    if (hasTicket(key)) return this.#runTicket(router, ticket, crashPoint);
+    if (!isNonIdempotent(key)) return this.#run(router, ticket, crashPoint);
+    return this.#claimBeforeDispatch(router, ticket) ?? this.#run(router, ticket, crashPoint);
   }
 
   /**
    * Handles a request with a ticket. Only the issuer dispatches it; if the issuer is gone, the first
    * router that gets a retry claims it.
    */
-  #runTicket(router: ReducerRouter, next: TicketId, dies: DeathPoint): Outcome {
+  #runTicket(router: ReducerRouter, next: TicketId, crashPoint: CrashPoint): Outcome {
     const ticket = this.#tickets.get(next.number) ?? next;
     this.#tickets.set(ticket.number, ticket);
     const issuer = this.#routers.find((one) => one.spender.holder === ticket.issuer);
     if (issuer && !issuer.spender.isOpen) return 'unknown';
-    if (issuer) return issuer.outcomes.get(ticket.number) ?? this.#run(issuer, ticket, dies);
+    if (issuer) return issuer.outcomes.get(ticket.number) ?? this.#run(issuer, ticket, crashPoint);
     if (!this.#isUp) return 'unknown';
     const journal = this.store.journals.find((one) => one.holders[ticket.issuer]);
     const entry = journal?.holders[ticket.issuer];
@@ -107,7 +107,7 @@
     if (hasInterval(entry.done, ticket.number)) return 'answered';
     const isSealed = entry.state === 'sealed' || entry.state === 'closed';
     if (!isSealed || entry.openIntents.includes(ticket.number)) return 'unknown';
-    return this.#claimBeforeDispatch(router, next) ?? this.#run(router, next, dies);
+    return this.#claimBeforeDispatch(router, next) ?? this.#run(router, next, crashPoint);
   }
 
   /** Claims the key: `undefined` when the ticket owns it, else the outcome for the caller. */
@@ -135,7 +135,7 @@
     return taken.answer.type === 'own' ? undefined : 'unknown';
   }
 
-  #run(router: ReducerRouter, ticket: TicketId, dies: DeathPoint): Outcome {
+  #run(router: ReducerRouter, ticket: TicketId, crashPoint: CrashPoint): Outcome {
     const key = ticket.number;
     const request = { account: ACCOUNT, workClass: 'w', amount: WORST_CASE };
     const limits = { budgetShare: 1, floor: 0 };
@@ -147,9 +147,9 @@
       router.spender.release(reserved.value);
       return 'not-run';
     }
-    if (dies === 'before-dispatch') return this.#crash(router);
+    if (crashPoint === 'before-dispatch') return this.#crash(router);
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
-    if (dies === 'after-dispatch') return this.#crash(router);
+    if (crashPoint === 'after-dispatch') return this.#crash(router);
     const isOwner = isNonIdempotent(key) || hasTicket(key) || this.#claimBeforeBill(ticket);
     if (!isOwner) {
       router.spender.release(reserved.value);
@@ -158,7 +158,7 @@
     const isStored = this.#record(router, { type: 'bill', bill: billOf(ticket) });
     router.spender.release(reserved.value);
     router.outcomes.set(key, isStored ? 'answered' : 'unknown');
-    if (dies === 'after-bill') return this.#crash(router);
+    if (crashPoint === 'after-bill') return this.#crash(router);
     return isStored ? 'answered' : 'unknown';
   }
 
--- a/packages/lab/src/runtime/naive/types.ts
+++ b/packages/lab/src/runtime/naive/types.ts
@@ -3,14 +3,14 @@
 import type { Tokens } from '@flamingocourse/core';
 
 /** Point at which a router crashes while it runs a request. */
-export type DeathPoint = 'none' | 'before-dispatch' | 'after-dispatch' | 'after-bill';
+export type CrashPoint = 'none' | 'before-dispatch' | 'after-dispatch' | 'after-bill';
 
 /** A request with a caller's key. Its cost depends on the key, so a retry costs the same. */
 export interface RequestEvent {
   readonly type: 'request';
   readonly router: number;
   readonly key: number;
-  readonly dies: DeathPoint;
+  readonly crashPoint: CrashPoint;
 }
 
 /** An event of a sequence. */
--- a/packages/lab/src/runtime/prepaidExperiment/runPrepaidExperiment.ts
+++ b/packages/lab/src/runtime/prepaidExperiment/runPrepaidExperiment.ts
@@ -30,8 +30,8 @@
 
 /** Tokens of the requests that fit into their account's limit, and of those that were refused. */
 export interface PrepaidExperimentResult {
-  asked: Tokens;
-  refusedAlone: Tokens;
+  requested: Tokens;
+  refusedDisconnected: Tokens;
   refusedConnected: Tokens;
   /** Exchanges with the store. */
   exchanges: number;
@@ -70,8 +70,8 @@
 
 class PrepaidRun {
   readonly result: PrepaidExperimentResult = {
-    asked: 0,
-    refusedAlone: 0,
+    requested: 0,
+    refusedDisconnected: 0,
     refusedConnected: 0,
     exchanges: 0,
   };
@@ -112,11 +112,11 @@
     const used = this.#used.get(account) ?? 0;
     const limit = this.#load.limits.get(account) ?? 0;
     const fits = used + amount <= GUARANTEED_PART * limit;
-    if (fits) this.result.asked += amount;
+    if (fits) this.result.requested += amount;
     if (reservation) {
       this.#used.set(account, used + amount);
       this.#running.push({ arrival, reservation, holder });
-    } else if (fits && isDisconnected) this.result.refusedAlone += amount;
+    } else if (fits && isDisconnected) this.result.refusedDisconnected += amount;
     else if (fits) this.result.refusedConnected += amount;
   }
 
--- a/packages/lab/src/runtime/prove/moneyAudit.ts
+++ b/packages/lab/src/runtime/prove/moneyAudit.ts
@@ -35,7 +35,7 @@
  * Lists violations of the invariants that hold once all requests and transfers have ended: ledger and
  * journals agree, the bills add up to the spent tokens, and limit = billed + held + free exactly.
  */
-export function findQuietFaults(view: MoneyView, bills: readonly Bill[]): string[] {
+export function findQuiescentFaults(view: MoneyView, bills: readonly Bill[]): string[] {
   const faults = findMoneyFaults(view);
   for (const account of view.ledgers.flatMap((page) => Object.keys(page.accounts))) {
     faults.push(...findAccountFaults(view, bills, account));
--- a/packages/lab/src/runtime/spend.ts
+++ b/packages/lab/src/runtime/spend.ts
@@ -18,9 +18,9 @@
  * Computes the spend of every account, largest budget first.
  *
  * @example
- * const over = readSpend(ledgers, journals).filter((row) => row.over);
+ * const over = computeSpend(ledgers, journals).filter((row) => row.over);
  */
-export function readSpend(
+export function computeSpend(
   ledgers: readonly LedgerPage[],
   journals: readonly JournalState[],
 ): SpendRow[] {
--- a/test/compat/checkRouters.ts
+++ b/test/compat/checkRouters.ts
@@ -19,7 +19,7 @@
   declaredLoad,
   deployments,
   findViolations,
-  readSpend,
+  computeSpend,
   routerSlots,
   runLoad,
   startBackends,
@@ -95,7 +95,7 @@
     }),
   ]);
   await delay(SETTLE_MS);
-  const spend = readSpend(
+  const spend = computeSpend(
     values<LedgerPage>(platform, 'ledgers'),
     values<JournalState>(platform, 'journals'),
   );
--- a/test/differential/differential.test.ts
+++ b/test/differential/differential.test.ts
@@ -1,4 +1,4 @@
-import type { DeathPoint, FleetEvent } from '@flamingocourse/lab';
+import type { CrashPoint, FleetEvent } from '@flamingocourse/lab';
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { checkInvariant, checkLedgerInvariant } from '@flamingocourse/core';
@@ -13,17 +13,17 @@
 const SHORT = 60;
 const TOP_UP = 20;
 
-const deaths: DeathPoint[] = ['none', 'before-dispatch', 'after-dispatch', 'after-bill'];
+const crashPoints: CrashPoint[] = ['none', 'before-dispatch', 'after-dispatch', 'after-bill'];
 const router = fc.nat(3);
 const key = fc.nat(15);
 
 const calm = fc.oneof(
-  { weight: 9, arbitrary: requestOf(fc.constant<DeathPoint>('none')) },
+  { weight: 9, arbitrary: requestOf(fc.constant<CrashPoint>('none')) },
   { weight: 1, arbitrary: fc.constant<FleetEvent>({ type: 'top-up', amount: TOP_UP }) },
 );
 const rough = fc.oneof(
   { weight: 4, arbitrary: calm },
-  { weight: 2, arbitrary: requestOf(fc.constantFrom(...deaths)) },
+  { weight: 2, arbitrary: requestOf(fc.constantFrom(...crashPoints)) },
   {
     weight: 1,
     arbitrary: fc.record({ type: fc.constant('platform' as const), isUp: fc.boolean() }),
@@ -31,8 +31,8 @@
   { weight: 1, arbitrary: fc.record({ type: fc.constantFrom('seal', 'lose-reply'), router }) },
 );
 
-function requestOf(dies: fc.Arbitrary<DeathPoint>): fc.Arbitrary<FleetEvent> {
-  return fc.record({ type: fc.constant('request' as const), router, key, dies });
+function requestOf(crashPoint: fc.Arbitrary<CrashPoint>): fc.Arbitrary<FleetEvent> {
+  return fc.record({ type: fc.constant('request' as const), router, key, crashPoint });
 }
 
 /** Runs one event sequence through both fleets and checks the invariants of the real one. */
--- a/test/differential/livingHolder.test.ts
+++ b/test/differential/livingHolder.test.ts
@@ -10,13 +10,13 @@
   // and the router that still has the bill was sealed while alive, without being asked for its
   // lines.
   const fleet = new ReducerFleet(1_000);
-  const request = { type: 'request', dies: 'none' } as const;
+  const request = { type: 'request', crashPoint: 'none' } as const;
   const events: FleetEvent[] = [
     { ...request, router: 0, key: 0 },
     { ...request, router: 1, key: 2 },
     { type: 'platform', isUp: false },
     { ...request, router: 0, key: TICKET_KEY },
-    { ...request, router: 1, key: 6, dies: 'after-dispatch' },
+    { ...request, router: 1, key: 6, crashPoint: 'after-dispatch' },
     { type: 'seal', router: 0 },
     { type: 'platform', isUp: true },
   ];
--- a/test/lab/demoReport.test.ts
+++ b/test/lab/demoReport.test.ts
@@ -8,7 +8,7 @@
   createDemoReport,
   declaredLoad,
   findViolations,
-  readSpend,
+  computeSpend,
   renderReport,
   renderText,
   type DemoResult,
@@ -87,7 +87,7 @@
     const account = { limit: 100, pendingReduction: 0, shares: { 'dc-a': share }, changes: [] };
     const ledger: LedgerPage = { page: 0, accounts: { shop: account } };
     const journal = { accounts: { shop: { grantedIn, returnedOut: 0, spent } } };
-    const [row] = readSpend([ledger], [journal as unknown as JournalState]);
+    const [row] = computeSpend([ledger], [journal as unknown as JournalState]);
     assert.deepEqual(row, { account: 'shop', limit: 100, spent, committed: grantedIn, over });
   });
 }
--- a/test/prepaid/prepaidExperiment.test.ts
+++ b/test/prepaid/prepaidExperiment.test.ts
@@ -8,12 +8,12 @@
   sizing: PrepaidSizing,
   faults: { cuts?: [number, number][]; killsAt?: number[] },
 ): PrepaidExperimentResult {
-  const sum = { asked: 0, refusedAlone: 0, refusedConnected: 0, exchanges: 0 };
+  const sum = { requested: 0, refusedDisconnected: 0, refusedConnected: 0, exchanges: 0 };
   for (const seed of [1, 2, 3]) {
     const load = drawPrepaidLoad({ seconds: 55, instances: 7 }, createRandom(seed));
     const result = runPrepaidExperiment(load, { cuts: [], killsAt: [], ...faults }, sizing);
-    sum.asked += result.asked;
-    sum.refusedAlone += result.refusedAlone;
+    sum.requested += result.requested;
+    sum.refusedDisconnected += result.refusedDisconnected;
     sum.refusedConnected += result.refusedConnected;
     sum.exchanges += result.exchanges;
   }
@@ -27,15 +27,21 @@
 // the demand.
 describe('the budgets of a day', () => {
   test('refuse less than 1 % of the demand without faults', () => {
-    const { asked, refusedConnected } = run(usual, {});
-    assert.ok(refusedConnected < 0.01 * asked, `${String(refusedConnected)} of ${String(asked)}`);
+    const { requested, refusedConnected } = run(usual, {});
+    assert.ok(
+      refusedConnected < 0.01 * requested,
+      `${String(refusedConnected)} of ${String(requested)}`,
+    );
   });
 
   // Guards against callers refused for the rest of the day: all instances were killed at the start
   // of its last quarter, and half of the remaining tokens are in doubt.
   test('serve 98 % of the demand after a loss of all instances late in the day', () => {
-    const { asked, refusedConnected } = run(usual, { killsAt: [41] });
-    assert.ok(refusedConnected < 0.02 * asked, `${String(refusedConnected)} of ${String(asked)}`);
+    const { requested, refusedConnected } = run(usual, { killsAt: [41] });
+    assert.ok(
+      refusedConnected < 0.02 * requested,
+      `${String(refusedConnected)} of ${String(requested)}`,
+    );
   });
 
   // In the early outage, which starts 6 s after the start, no instance knows yet which instances
@@ -46,15 +52,18 @@
   ] as const;
   for (const { name, cut } of cases) {
     test(`serve most of the demand while all instances are disconnected for eight seconds, ${name}`, () => {
-      const { asked, refusedAlone } = run(usual, { cuts: [[cut[0], cut[1]]] });
-      const inCut = ((cut[1] - cut[0]) / 55) * asked;
-      assert.ok(refusedAlone < 0.3 * inCut, `${String(refusedAlone)} of ${String(inCut)}`);
+      const { requested, refusedDisconnected } = run(usual, { cuts: [[cut[0], cut[1]]] });
+      const inCut = ((cut[1] - cut[0]) / 55) * requested;
+      assert.ok(
+        refusedDisconnected < 0.3 * inCut,
+        `${String(refusedDisconnected)} of ${String(inCut)}`,
+      );
     });
   }
 
   test('refuse more while disconnected without the safety margin', () => {
     const cuts: [number, number][] = [[6, 14]];
     const bare = run(new PrepaidSizing({ deviationFactor: 0 }), { cuts });
-    assert.ok(run(usual, { cuts }).refusedAlone < bare.refusedAlone);
+    assert.ok(run(usual, { cuts }).refusedDisconnected < bare.refusedDisconnected);
   });
 });
