--- a/packages/lab/src/node/capacity/capacityModel.ts
+++ b/packages/lab/src/node/capacity/capacityModel.ts
@@ -48,10 +48,10 @@
  * Estimates the costs of all roles.
  *
  * @example
- * const rows = workOutCapacity(lines, targetSize);
+ * const rows = estimateCapacity(lines, targetSize);
  * const broken = rows.filter(({ cost, limit }) => limit !== undefined && cost > limit);
  */
-export function workOutCapacity(lines: CostLines, size: FleetSize): CapacityRow[] {
+export function estimateCapacity(lines: CostLines, size: FleetSize): CapacityRow[] {
   const sheet = new Sheet(lines, size);
   addEntryRouter(sheet);
   addControlOfEachRouter(sheet);
@@ -63,7 +63,7 @@
 }
 
 /** Returns the rows over their limits, sorted by how far they exceed them. */
-export function findBreaks(rows: readonly CapacityRow[]): CapacityRow[] {
+export function findExceededLimits(rows: readonly CapacityRow[]): CapacityRow[] {
   return rows
     .filter((row) => timesLimit(row) > 1)
     .sort((one, other) => timesLimit(other) - timesLimit(one));
--- a/packages/lab/src/node/capacity/capacityReport.ts
+++ b/packages/lab/src/node/capacity/capacityReport.ts
@@ -4,7 +4,7 @@
 import type { CapacityRow } from './capacityModel.js';
 import type { CostLine, CostLines } from './types.js';
 import { cpus, loadavg } from 'node:os';
-import { findBreaks, timesLimit, workOutCapacity } from './capacityModel.js';
+import { findExceededLimits, timesLimit, estimateCapacity } from './capacityModel.js';
 import { targetSize, todaySize } from './targetSize.js';
 
 const DIGITS = 3;
@@ -16,7 +16,7 @@
  * process.stdout.write(renderText(createCapacityReport(lines, 1)));
  */
 export function createCapacityReport(lines: CostLines, seed: number): ReportDocument {
-  const rows = workOutCapacity(lines, targetSize);
+  const rows = estimateCapacity(lines, targetSize);
   const [load = 0] = loadavg();
   return {
     title: 'Capacity at the size to come',
@@ -28,7 +28,7 @@
       slopeTable([...lines.values()]),
       roleTable(rows),
       exceededLimitsTable('What breaks first: lines over their limit, the worst first', rows),
-      exceededLimitsTable('Today: lines over their limit', workOutCapacity(lines, todaySize)),
+      exceededLimitsTable('Today: lines over their limit', estimateCapacity(lines, todaySize)),
     ],
     charts: [],
   };
@@ -70,7 +70,7 @@
   return {
     title,
     columns: ['role', 'mechanism', 'cost', 'unit', 'times limit'],
-    rows: findBreaks(rows).map((row) => [
+    rows: findExceededLimits(rows).map((row) => [
       row.role,
       row.mechanism,
       round(row.cost),
--- a/packages/lab/src/node/loadGenerator/callerRequest.ts
+++ b/packages/lab/src/node/loadGenerator/callerRequest.ts
@@ -1,7 +1,7 @@
 /** HTTP client of the load generator's callers. */
 
 import type { IncomingMessage } from 'node:http';
-import type { CallEnd, PlannedRequest } from '../../types/load.js';
+import type { AttemptOutcome, PlannedRequest } from '../../types/load.js';
 import { Agent, request as httpRequest } from 'node:http';
 import { z } from 'zod';
 
@@ -48,7 +48,7 @@
 }
 
 /** Converts the error of a failed call: it reached no router, or its connection broke. */
-export function toFailureEnd(err: unknown): CallEnd {
+export function toFailureEnd(err: unknown): AttemptOutcome {
   if (err instanceof NotSentError) return { type: 'unreachable' };
   return { type: 'broken', verdict: 'whole' };
 }
@@ -76,7 +76,7 @@
 }
 
 /** Parses the body of a refusal; if it is not a problem body, the reason is the status code. */
-export function parseRefusal(text: string, res?: IncomingMessage): CallEnd {
+export function parseRefusal(text: string, res?: IncomingMessage): AttemptOutcome {
   const problem = problemSchema.safeParse(parseJson(text)).data;
   const header = Number(res?.headers['retry-after'] ?? Number.NaN) * MS_PER_SECOND;
   const retryAfterMs = problem?.retryAfterMs ?? (Number.isNaN(header) ? undefined : header);
@@ -88,7 +88,7 @@
   };
 }
 
-/** Reads the request id from the response headers, as a partial {@link CallEnd}. */
+/** Reads the request id from the response headers, as a partial {@link AttemptOutcome}. */
 export function requestIdOf(res: IncomingMessage): { requestId?: string } {
   const requestId = res.headers[REQUEST_ID_HEADER];
   return typeof requestId === 'string' ? { requestId } : {};
--- a/packages/lab/src/node/loadGenerator/chatCall.ts
+++ b/packages/lab/src/node/loadGenerator/chatCall.ts
@@ -1,7 +1,7 @@
 /** Sends one attempt of a chat call and compares the answer with the expected one, word by word. */
 
 import type { IncomingMessage } from 'node:http';
-import type { CallEnd, ChatMix, PlannedRequest, ReportedUsage } from '../../types/load.js';
+import type { AttemptOutcome, ChatMix, PlannedRequest, ReportedUsage } from '../../types/load.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { createParser } from 'eventsource-parser';
 import { z } from 'zod';
@@ -42,7 +42,7 @@
   firstAt: number;
   done: boolean;
   usage?: ReportedUsage;
-  refusal?: CallEnd;
+  refusal?: AttemptOutcome;
 }
 
 /** Sends a chat call to one router and checks the answer. */
@@ -51,7 +51,7 @@
   request: PlannedRequest & { item: ChatMix },
   ticket: string | undefined,
   signal: AbortSignal,
-): Promise<CallEnd> {
+): Promise<AttemptOutcome> {
   const messages = [{ role: 'user', content: request.prompt }];
   const expected = expectedAnswer(messages, 0, request.item.maxTokens);
   const body = JSON.stringify({
@@ -75,7 +75,7 @@
   return end.type === 'answer' ? { ...end, ...requestIdOf(res) } : end;
 }
 
-async function readWhole(res: IncomingMessage, expected: string): Promise<CallEnd> {
+async function readWhole(res: IncomingMessage, expected: string): Promise<AttemptOutcome> {
   const text = await readText(res);
   const completion = completionSchema.safeParse(parseJson(text)).data;
   if (!completion) return { type: 'answer', verdict: 'cut', firstAt: performance.now() };
@@ -91,7 +91,7 @@
   res: IncomingMessage,
   request: PlannedRequest,
   expected: string,
-): Promise<CallEnd> {
+): Promise<AttemptOutcome> {
   const state: StreamState = { text: '', tokens: 0, firstAt: 0, done: false };
   const parser = createParser({
     onEvent: ({ event, data }) => {
@@ -114,7 +114,11 @@
   return toStreamEnd(state, request, expected);
 }
 
-function toStreamEnd(state: StreamState, request: PlannedRequest, expected: string): CallEnd {
+function toStreamEnd(
+  state: StreamState,
+  request: PlannedRequest,
+  expected: string,
+): AttemptOutcome {
   if (state.done) {
     const verdict = checkAnswer(expected, state.text);
     const usage = state.usage ? { usage: state.usage } : {};
--- a/packages/lab/src/node/loadGenerator/runLoad.ts
+++ b/packages/lab/src/node/loadGenerator/runLoad.ts
@@ -1,6 +1,6 @@
 /** Open-loop load generator whose callers retry requests and check the answers. */
 
-import type { CallEnd, LoadOptions, LoadResult, PlannedRequest } from '../../types/load.js';
+import type { AttemptOutcome, LoadOptions, LoadResult, PlannedRequest } from '../../types/load.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { z } from 'zod';
 import { planLoad } from '../../runtime/loadPlan.js';
@@ -68,7 +68,7 @@
   recorder.started(request);
   const startedAt = performance.now();
   const caller: Caller = { settings, request, ticket: undefined };
-  let end: CallEnd = { type: 'unreachable' };
+  let end: AttemptOutcome = { type: 'unreachable' };
   for (let attempt = 0; attempt < settings.maxAttempts; attempt += 1) {
     end = await callNextRouter(caller, attempt);
     recorder.attempt(request, attempt, end);
@@ -91,7 +91,7 @@
 }
 
 /** Sends one attempt to the next router in round-robin order; never throws. */
-function callNextRouter(caller: Caller, attempt: number): Promise<CallEnd> {
+function callNextRouter(caller: Caller, attempt: number): Promise<AttemptOutcome> {
   const { request, settings } = caller;
   const { targets } = settings;
   const url = targets[(request.firstTarget + attempt) % targets.length]?.url ?? '';
@@ -106,7 +106,7 @@
   caller: TicketedRequest,
   url: string,
   timeoutMs: number,
-): Promise<CallEnd> {
+): Promise<AttemptOutcome> {
   const signal = AbortSignal.timeout(timeoutMs);
   try {
     if (caller.request.item.naming === 'ticket' && caller.ticket === undefined) {
@@ -123,7 +123,7 @@
   { request, ticket }: TicketedRequest,
   url: string,
   signal: AbortSignal,
-): Promise<CallEnd> {
+): Promise<AttemptOutcome> {
   const { item } = request;
   if (item.type === 'chat') return callChat(url, { ...request, item }, ticket, signal);
   return callService(url, { ...request, item }, ticket, signal);
@@ -134,7 +134,7 @@
   caller: TicketedRequest,
   url: string,
   signal: AbortSignal,
-): Promise<CallEnd | undefined> {
+): Promise<AttemptOutcome | undefined> {
   const headers = callerHeaders(caller.request, undefined);
   const res = await sendCall({ method: 'POST', url: `${url}/v1/tickets`, headers, signal });
   const text = await readText(res);
@@ -147,7 +147,7 @@
 /** Delay before the next attempt in milliseconds; `undefined` if the caller does not retry. */
 function retryWaitMs(
   { item }: PlannedRequest,
-  end: CallEnd,
+  end: AttemptOutcome,
   settings: Settings,
 ): number | undefined {
   switch (end.type) {
--- a/packages/lab/src/node/loadGenerator/serviceCall.ts
+++ b/packages/lab/src/node/loadGenerator/serviceCall.ts
@@ -1,7 +1,7 @@
 /** Sends one attempt of a plain service call and checks that the answer belongs to this request. */
 
 import type { AnswerVerdict } from '../../runtime/answerCheck.js';
-import type { CallEnd, PlannedRequest, ServiceMix } from '../../types/load.js';
+import type { AttemptOutcome, PlannedRequest, ServiceMix } from '../../types/load.js';
 import { z } from 'zod';
 import {
   callerHeaders,
@@ -22,7 +22,7 @@
   request: PlannedRequest & { item: ServiceMix },
   ticket: string | undefined,
   signal: AbortSignal,
-): Promise<CallEnd> {
+): Promise<AttemptOutcome> {
   const { service, path, type } = request.item;
   const base = `${url}/services/${encodeURIComponent(service)}${path}`;
   const headers = callerHeaders(request, ticket);
--- a/packages/lab/src/node/prove/callerLog.ts
+++ b/packages/lab/src/node/prove/callerLog.ts
@@ -2,7 +2,7 @@
 
 import type { Bill } from '@flamingocourse/core';
 import type { SeenAnswer, SeenNotRun } from '../../runtime/prove/billAudit.js';
-import type { CallEnd, EntryOutcome, PlannedRequest } from '../../types/load.js';
+import type { AttemptOutcome, EntryOutcome, PlannedRequest } from '../../types/load.js';
 import { digest, HmacTicketCodec } from '@flamingocourse/router';
 import { auditBills } from '../../runtime/prove/billAudit.js';
 import { TOKENS_PER_CALL } from './proveDeclarations.js';
@@ -24,7 +24,7 @@
   }
 
   /** Records the outcome of an attempt. */
-  add(request: PlannedRequest, end: CallEnd): void {
+  add(request: PlannedRequest, end: AttemptOutcome): void {
     this.attempts += 1;
     if ('verdict' in end && end.verdict !== 'whole') {
       this.badAnswers.push(`${request.key}: ${end.type} with a ${end.verdict} answer`);
@@ -40,14 +40,14 @@
     return auditBills({ answers: this.answers, notRun, bills });
   }
 
-  #addEntry(key: string, end: CallEnd): void {
+  #addEntry(key: string, end: AttemptOutcome): void {
     if (this.entries[key] === 'entered') return;
     if (end.type === 'answer') this.entries[key] = 'entered';
     else if (end.type === 'refused' && end.run === 'not-run') this.entries[key] = 'not-run';
     else this.entries[key] = 'unknown';
   }
 
-  #addAnswer(request: PlannedRequest, end: CallEnd & { type: 'answer' }): void {
+  #addAnswer(request: PlannedRequest, end: AttemptOutcome & { type: 'answer' }): void {
     const { item, account, key } = request;
     const issued = end.requestId === undefined ? undefined : this.#tickets.parse(end.requestId);
     const usage = end.usage && end.usage.promptTokens + end.usage.completionTokens;
@@ -63,7 +63,7 @@
   }
 
   /** Only the last outcome counts: one router may refuse a request that another then answers. */
-  #addNotRun({ item, account, key }: PlannedRequest, end: CallEnd): void {
+  #addNotRun({ item, account, key }: PlannedRequest, end: AttemptOutcome): void {
     const refused = end.type === 'refused' && end.run === 'not-run';
     if (refused && item.naming === 'key' && !this.#answered.has(key)) {
       this.#notRun.set(key, digest(account.name, key));
--- a/packages/lab/src/node/prove/configurationPhase.ts
+++ b/packages/lab/src/node/prove/configurationPhase.ts
@@ -2,7 +2,7 @@
 
 import type { ServiceDeclaration } from '@flamingocourse/core';
 import type { PhaseContext } from './loadPhase.js';
-import type { ProveStage } from './proveStage.js';
+import type { ProveDeployment } from './proveDeployment.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { z } from 'zod';
 import {
@@ -11,7 +11,7 @@
   proveAccounts,
   writeDeclarations,
 } from './proveDeclarations.js';
-import { readAll } from './proveStage.js';
+import { readAll } from './proveDeployment.js';
 import { watchRevisions } from './watchers.js';
 
 /** Time limit for an accepted change to be in force. */
@@ -41,20 +41,20 @@
 
 /** Runs the changes one after another. */
 export async function runConfigurationPhase(context: PhaseContext): Promise<ConfigurationFigures> {
-  const { stage, findings } = context;
+  const { deployment, findings } = context;
   context.onProgress('phase configuration: changes under faults');
-  const watch = watchRevisions(stage.fleet);
+  const watch = watchRevisions(deployment.fleet);
   const inForceAfterMs: ConfigurationFigures['inForceAfterMs'] = {};
   for (const [index, change] of changes.entries()) {
-    const problems = await change.make(stage, `${PROVE_MODEL}-${index}`);
-    const { afterMs, late } = await waitUntilInForce(stage);
+    const problems = await change.make(deployment, `${PROVE_MODEL}-${index}`);
+    const { afterMs, late } = await waitUntilInForce(deployment);
     inForceAfterMs[change.name] = afterMs;
     const violations = [...problems, ...late].map((text) => `${change.name}: ${text}`);
     findings.add(8, { faults: [change.name], checks: 1, violations });
-    await change.undo?.(stage);
+    await change.undo?.(deployment);
   }
   await delay(IN_FORCE_MS);
-  const { late } = await waitUntilInForce(stage);
+  const { late } = await waitUntilInForce(deployment);
   findings.add(8, { checks: 1, violations: late.map((text) => `at the end: ${text}`) });
   watch.stop();
   findings.add(8, { checks: watch.samples, violations: watch.violations });
@@ -64,8 +64,8 @@
 interface Change {
   name: string;
   /** Makes the change; returns descriptions of problems. */
-  make: (stage: ProveStage, model: string) => Promise<string[]>;
-  undo?: (stage: ProveStage) => Promise<unknown> | undefined;
+  make: (deployment: ProveDeployment, model: string) => Promise<string[]>;
+  undo?: (deployment: ProveDeployment) => Promise<unknown> | undefined;
 }
 
 const changes: Change[] = [
@@ -73,59 +73,59 @@
   {
     name: 'replies to apply lost',
     make: applyWithLostReplies,
-    undo: (stage) => {
-      stage.platform.setFaults('operators', { lostReplies: 0 });
+    undo: (deployment) => {
+      deployment.platform.setFaults('operators', { lostReplies: 0 });
     },
   },
   {
     name: 'platform silent for one data centre',
-    make: (stage, model) => {
-      stage.platform.setFaults(stage.plan.dataCentres[1] ?? '', { outage: 'silent' });
-      return apply(stage, model);
+    make: (deployment, model) => {
+      deployment.platform.setFaults(deployment.plan.dataCentres[1] ?? '', { outage: 'silent' });
+      return apply(deployment, model);
     },
-    undo: (stage) => {
-      stage.platform.setFaults('all', { outage: 'none' });
+    undo: (deployment) => {
+      deployment.platform.setFaults('all', { outage: 'none' });
     },
   },
   {
     name: 'watches of all data centres say nothing',
-    make: (stage, model) => {
-      stage.platform.setFaults('all', { freezeWatch: true });
-      return apply(stage, model);
+    make: (deployment, model) => {
+      deployment.platform.setFaults('all', { freezeWatch: true });
+      return apply(deployment, model);
     },
-    undo: (stage) => {
-      stage.platform.setFaults('all', { freezeWatch: false });
+    undo: (deployment) => {
+      deployment.platform.setFaults('all', { freezeWatch: false });
     },
   },
   { name: 'two operators at once', make: applyConcurrently },
   {
     name: 'router killed and restarted',
-    make: async (stage, model) => {
-      const problems = await apply(stage, model);
-      await stage.fleet.kill(4);
-      await stage.fleet.restart(4);
+    make: async (deployment, model) => {
+      const problems = await apply(deployment, model);
+      await deployment.fleet.kill(4);
+      await deployment.fleet.restart(4);
       return problems;
     },
   },
 ];
 
-async function apply(stage: ProveStage, model: string): Promise<string[]> {
-  const file = await writeDeclarations(stage.directory, model, [PROVE_MODEL, model]);
-  const end = await stage.operate('apply', file, ...ACKNOWLEDGEMENTS);
-  const accepted = storedModels(stage).includes(model);
+async function apply(deployment: ProveDeployment, model: string): Promise<string[]> {
+  const file = await writeDeclarations(deployment.directory, model, [PROVE_MODEL, model]);
+  const end = await deployment.operate('apply', file, ...ACKNOWLEDGEMENTS);
+  const accepted = storedModels(deployment).includes(model);
   if (end.code === 0) return accepted ? [] : ['apply exited with 0 but the change is not stored'];
   return [`apply exited with ${end.code}: ${end.output}`];
 }
 
 /** Half of the replies are lost; the operator repeats the command until it succeeds. */
-async function applyWithLostReplies(stage: ProveStage, model: string): Promise<string[]> {
-  stage.platform.setFaults('operators', { lostReplies: 0.5 });
+async function applyWithLostReplies(deployment: ProveDeployment, model: string): Promise<string[]> {
+  deployment.platform.setFaults('operators', { lostReplies: 0.5 });
   let problems: string[] = [];
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-    problems = await apply(stage, model);
+    problems = await apply(deployment, model);
     // an error without a stored change is correct, and the operator retries; an error although the
     // change was stored is a violation.
-    const stored = storedModels(stage).includes(model);
+    const stored = storedModels(deployment).includes(model);
     if (problems.length === 0) return [];
     if (stored) return problems;
   }
@@ -136,26 +136,28 @@
  * Two operators apply at the same time. Both may be accepted, one after the other; the stored
  * change must be one of those that exited with 0.
  */
-async function applyConcurrently(stage: ProveStage, model: string): Promise<string[]> {
+async function applyConcurrently(deployment: ProveDeployment, model: string): Promise<string[]> {
   const names = [`${model}-one`, `${model}-two`];
   const files = await Promise.all(
-    names.map((name) => writeDeclarations(stage.directory, name, [PROVE_MODEL, name])),
+    names.map((name) => writeDeclarations(deployment.directory, name, [PROVE_MODEL, name])),
   );
   const ends = await Promise.all(
-    files.map((file) => stage.operate('apply', file, ...ACKNOWLEDGEMENTS)),
+    files.map((file) => deployment.operate('apply', file, ...ACKNOWLEDGEMENTS)),
   );
   const acceptedNames = names.filter((_, index) => ends[index]?.code === 0);
-  const stored = storedModels(stage).find((name) => names.includes(name));
+  const stored = storedModels(deployment).find((name) => names.includes(name));
   if (acceptedNames.length === 0) return ['neither of two operators was accepted'];
   if (stored !== undefined && acceptedNames.includes(stored)) return [];
   return [`${acceptedNames.join(' and ')} accepted, and ${stored ?? 'neither'} is stored`];
 }
 
 /** Waits until every running router serves the models of the stored configuration. */
-async function waitUntilInForce(stage: ProveStage): Promise<{ afterMs: number; late: string[] }> {
+async function waitUntilInForce(
+  deployment: ProveDeployment,
+): Promise<{ afterMs: number; late: string[] }> {
   const startedAt = performance.now();
   for (;;) {
-    const late = await findOutdatedRouters(stage);
+    const late = await findOutdatedRouters(deployment);
     const afterMs = Math.round(performance.now() - startedAt);
     if (late.length === 0 && afterMs <= IN_FORCE_MS) return { afterMs, late };
     if (late.length === 0) return { afterMs, late: [`in force only after ${afterMs} ms`] };
@@ -164,9 +166,9 @@
   }
 }
 
-async function findOutdatedRouters(stage: ProveStage): Promise<string[]> {
-  const expected = storedModels(stage).sort().join(' ');
-  const running = stage.fleet.routers.filter((router) => router.state === 'running');
+async function findOutdatedRouters(deployment: ProveDeployment): Promise<string[]> {
+  const expected = storedModels(deployment).sort().join(' ');
+  const running = deployment.fleet.routers.filter((router) => router.state === 'running');
   const served = await Promise.all(
     running.map(async ({ slot, entryUrl }) => ({ slot, models: await readModels(entryUrl) })),
   );
@@ -192,8 +194,8 @@
   }
 }
 
-function storedModels(stage: ProveStage): string[] {
-  const all = readAll<Partial<ServiceDeclaration>>(stage.platform, 'declarations');
+function storedModels(deployment: ProveDeployment): string[] {
+  const all = readAll<Partial<ServiceDeclaration>>(deployment.platform, 'declarations');
   const service = all.find((one) => one.kind === 'Service' && one.name === MODEL_SERVICE);
   return [...(service?.models ?? [])];
 }
--- a/packages/lab/src/node/prove/index.ts
+++ b/packages/lab/src/node/prove/index.ts
@@ -1,3 +1,3 @@
 export * from './loadPhase.js';
-export * from './proveStage.js';
+export * from './proveDeployment.js';
 export * from './runProve.js';
--- a/packages/lab/src/node/prove/loadPhase.ts
+++ b/packages/lab/src/node/prove/loadPhase.ts
@@ -2,7 +2,7 @@
 
 import type { LoadResult } from '../../types/load.js';
 import type { Findings } from '../../runtime/prove/findings.js';
-import type { ProveStage } from './proveStage.js';
+import type { ProveDeployment } from './proveDeployment.js';
 import type { Watch } from './watchers.js';
 import { setTimeout as delay } from 'node:timers/promises';
 import { auditEntries } from '../../runtime/entryAudit.js';
@@ -11,14 +11,14 @@
 import { runLoad } from '../loadGenerator/index.js';
 import { CallerLog } from './callerLog.js';
 import { proveAccounts, proveMix, TIGHT_ACCOUNTS, TIGHT_TOKENS } from './proveDeclarations.js';
-import { readBills, readMoney } from './proveStage.js';
+import { readBills, readMoney } from './proveDeployment.js';
 import { runDuplicateRequests } from './duplicateRequests.js';
 import { watchMoney } from './watchers.js';
 
 /** Start or end of a fault at a fixed time of the phase. */
 export interface FaultStep {
   atSeconds: number;
-  run: (stage: ProveStage) => Promise<unknown> | undefined;
+  run: (deployment: ProveDeployment) => Promise<unknown> | undefined;
 }
 
 /** A phase with load. */
@@ -35,7 +35,7 @@
 
 /** Arguments that all phases share. */
 export interface PhaseContext {
-  stage: ProveStage;
+  deployment: ProveDeployment;
   findings: Findings;
   seed: number;
   onProgress: (line: string) => void;
@@ -63,15 +63,18 @@
 
 /** Runs a phase and adds its findings. */
 export async function runLoadPhase(context: PhaseContext, phase: LoadPhase): Promise<PhaseFigures> {
-  const { stage, findings, seed } = context;
+  const { deployment, findings, seed } = context;
   context.onProgress(`phase ${phase.name}: ${phase.faults.join(', ')}`);
-  await topUp(stage, `${phase.name}-start`);
-  const money = watchMoney(stage);
-  const log = new CallerLog(stage.fleet.fleetSecret);
-  const weights = skewedWeights(stage.fleet.entryUrls.length);
+  await topUp(deployment, `${phase.name}-start`);
+  const money = watchMoney(deployment);
+  const log = new CallerLog(deployment.fleet.fleetSecret);
+  const weights = skewedWeights(deployment.fleet.entryUrls.length);
   const [load, twins] = await Promise.all([
     runLoad({
-      targets: stage.fleet.entryUrls.map((url, index) => ({ url, weight: weights[index] ?? 1 })),
+      targets: deployment.fleet.entryUrls.map((url, index) => ({
+        url,
+        weight: weights[index] ?? 1,
+      })),
       accounts: proveAccounts,
       mix: proveMix,
       ratePerSecond: RATE_PER_SECOND,
@@ -84,18 +87,18 @@
       },
     }),
     runDuplicateRequests({
-      entryUrls: stage.fleet.entryUrls,
+      entryUrls: deployment.fleet.entryUrls,
       label: `${phase.name}-${seed}`,
       seed,
       seconds: phase.seconds,
       perSecond: DUPLICATES_PER_SECOND,
       log,
     }),
-    runSteps(stage, phase.steps),
+    runSteps(deployment, phase.steps),
   ]);
-  const quiet = await waitForQuiet(stage);
+  const quiet = await waitForQuiet(deployment);
   money.stop();
-  addFindings({ stage, findings, phase, log, money, load, quietFaults: quiet.faults });
+  addFindings({ deployment, findings, phase, log, money, load, quietFaults: quiet.faults });
   const { requests, whole, broken, unanswered, retries, refusals } = load;
   return {
     phase: phase.name,
@@ -109,29 +112,34 @@
 }
 
 /** Tops up the tight accounts as an operator; the change id makes the command idempotent. */
-export async function topUp(stage: ProveStage, changeId: string): Promise<void> {
+export async function topUp(deployment: ProveDeployment, changeId: string): Promise<void> {
   for (const account of TIGHT_ACCOUNTS) {
     const tokens = String(TIGHT_TOKENS);
     const change = ['--account', account, '--tokens', tokens, '--change-id', changeId];
-    await stage.operate('budget', 'top-up', ...change);
+    await deployment.operate('budget', 'top-up', ...change);
   }
 }
 
-async function runSteps(stage: ProveStage, steps: readonly FaultStep[]): Promise<void> {
+async function runSteps(deployment: ProveDeployment, steps: readonly FaultStep[]): Promise<void> {
   const startedAt = performance.now();
   await Promise.all(
     steps.map(async ({ atSeconds, run }) => {
       await delay(startedAt + atSeconds * MS_PER_SECOND - performance.now());
-      await run(stage);
+      await run(deployment);
     }),
   );
 }
 
 /** Waits until ledger, journals and bills agree; returns the differences left at the timeout. */
-async function waitForQuiet(stage: ProveStage): Promise<{ faults: string[]; afterMs: number }> {
+async function waitForQuiet(
+  deployment: ProveDeployment,
+): Promise<{ faults: string[]; afterMs: number }> {
   const startedAt = performance.now();
   for (;;) {
-    const faults = findQuiescentFaults(readMoney(stage.platform), readBills(stage.platform));
+    const faults = findQuiescentFaults(
+      readMoney(deployment.platform),
+      readBills(deployment.platform),
+    );
     const afterMs = Math.round(performance.now() - startedAt);
     if (faults.length === 0 || afterMs > QUIET_TIMEOUT_MS) return { faults, afterMs };
     await delay(QUIET_POLL_MS);
@@ -139,7 +147,7 @@
 }
 
 interface PhaseOutcome {
-  stage: ProveStage;
+  deployment: ProveDeployment;
   findings: Findings;
   phase: LoadPhase;
   log: CallerLog;
@@ -149,11 +157,11 @@
 }
 
 function addFindings(outcome: PhaseOutcome): void {
-  const { stage, findings, phase, log, money, load, quietFaults } = outcome;
+  const { deployment, findings, phase, log, money, load, quietFaults } = outcome;
   const { faults, name } = phase;
   const withPhase = (violations: readonly string[]): string[] =>
     violations.map((violation) => `[${name}] ${violation}`);
-  const entries = auditEntries(log.entries, stage.backends.records.runs);
+  const entries = auditEntries(log.entries, deployment.backends.records.runs);
   const entryCount = Object.keys(log.entries).length;
   findings.add(1, {
     faults,
@@ -163,7 +171,7 @@
   findings.add(2, {
     faults,
     checks: log.answers.length,
-    violations: withPhase(log.auditBills(readBills(stage.platform))),
+    violations: withPhase(log.auditBills(readBills(deployment.platform))),
   });
   const lost = entries.lost.map((key) => `${key}: answered and never ran`);
   const answers = log.answers.length;
--- a/packages/lab/src/node/prove/phases.ts
+++ b/packages/lab/src/node/prove/phases.ts
@@ -1,7 +1,7 @@
 /** Phases with load, with the faults of each. */
 
 import type { FaultStep, LoadPhase } from './loadPhase.js';
-import type { ProveStage } from './proveStage.js';
+import type { ProveDeployment } from './proveDeployment.js';
 import { topUp } from './loadPhase.js';
 
 const CUT_DATA_CENTRE = 0;
@@ -16,16 +16,16 @@
   seconds: 10,
   mayBreak: true,
   steps: [
-    stepAt(0, (stage) => {
-      for (const engine of stage.backends.engines) {
+    stepAt(0, (deployment) => {
+      for (const engine of deployment.backends.engines) {
         engine.setFaults({ duplicateChunks: 0.1, lateChunks: 0.1 });
       }
     }),
     stepAt(1.5, crashEngine),
-    stepAt(2, (stage) => stage.fleet.kill(0)),
-    stepAt(4, (stage) => stage.fleet.kill(5)),
-    stepAt(7, (stage) => stage.fleet.restart(0)),
-    stepAt(8, (stage) => stage.fleet.restart(5)),
+    stepAt(2, (deployment) => deployment.fleet.kill(0)),
+    stepAt(4, (deployment) => deployment.fleet.kill(5)),
+    stepAt(7, (deployment) => deployment.fleet.restart(0)),
+    stepAt(8, (deployment) => deployment.fleet.restart(5)),
   ],
 };
 
@@ -35,17 +35,17 @@
   seconds: 12,
   mayBreak: true,
   steps: [
-    stepAt(1, (stage) => {
-      stage.fleet.freeze(1);
+    stepAt(1, (deployment) => {
+      deployment.fleet.freeze(1);
     }),
-    stepAt(3, (stage) => {
-      stage.fleet.freeze(2);
+    stepAt(3, (deployment) => {
+      deployment.fleet.freeze(2);
     }),
-    stepAt(5, (stage) => {
-      stage.fleet.thaw(2);
+    stepAt(5, (deployment) => {
+      deployment.fleet.thaw(2);
     }),
-    stepAt(9, (stage) => {
-      stage.fleet.thaw(1);
+    stepAt(9, (deployment) => {
+      deployment.fleet.thaw(1);
     }),
   ],
 };
@@ -56,12 +56,12 @@
   seconds: 14,
   mayBreak: true,
   steps: [
-    stepAt(2, (stage) => {
-      stage.network.cut(cutDataCentre(stage));
+    stepAt(2, (deployment) => {
+      deployment.network.cut(cutDataCentre(deployment));
     }),
-    stepAt(5, (stage) => topUp(stage, 'cut-middle')),
-    stepAt(11, (stage) => {
-      stage.network.heal(cutDataCentre(stage));
+    stepAt(5, (deployment) => topUp(deployment, 'cut-middle')),
+    stepAt(11, (deployment) => {
+      deployment.network.heal(cutDataCentre(deployment));
     }),
   ],
 };
@@ -72,26 +72,26 @@
   seconds: 14,
   mayBreak: true,
   steps: [
-    stepAt(0, (stage) => {
-      stage.platform.setFaults('all', { lostReplies: 0.1 });
-      for (const service of stage.backends.plainServices) {
+    stepAt(0, (deployment) => {
+      deployment.platform.setFaults('all', { lostReplies: 0.1 });
+      for (const service of deployment.backends.plainServices) {
         service.setFaults({ breakAt: 'after-run', breaks: 2 });
       }
     }),
-    stepAt(2, (stage) => {
-      setOutage(stage, 'silent');
+    stepAt(2, (deployment) => {
+      setOutage(deployment, 'silent');
     }),
-    stepAt(6, (stage) => {
-      setOutage(stage, 'none');
+    stepAt(6, (deployment) => {
+      setOutage(deployment, 'none');
     }),
-    stepAt(8, (stage) => {
-      setOutage(stage, 'refuse');
+    stepAt(8, (deployment) => {
+      setOutage(deployment, 'refuse');
     }),
-    stepAt(11, (stage) => {
-      setOutage(stage, 'none');
+    stepAt(11, (deployment) => {
+      setOutage(deployment, 'none');
     }),
-    stepAt(13, (stage) => {
-      stage.platform.setFaults('all', { lostReplies: 0 });
+    stepAt(13, (deployment) => {
+      deployment.platform.setFaults('all', { lostReplies: 0 });
     }),
   ],
 };
@@ -102,9 +102,9 @@
   seconds: 10,
   mayBreak: false,
   steps: [
-    stepAt(1, (stage) => stopAndRestart(stage, 0)),
-    stepAt(3, (stage) => stopAndRestart(stage, 3)),
-    stepAt(5, (stage) => stopAndRestart(stage, 6)),
+    stepAt(1, (deployment) => stopAndRestart(deployment, 0)),
+    stepAt(3, (deployment) => stopAndRestart(deployment, 3)),
+    stepAt(5, (deployment) => stopAndRestart(deployment, 6)),
   ],
 };
 
@@ -114,17 +114,17 @@
   seconds: 14,
   mayBreak: true,
   steps: [
-    stepAt(1, (stage) => {
-      stage.network.cut(cutDataCentre(stage));
+    stepAt(1, (deployment) => {
+      deployment.network.cut(cutDataCentre(deployment));
     }),
     // the first router of the partitioned data centre, which also contains its witnesses.
-    stepAt(3, (stage) => stage.fleet.kill(0)),
-    stepAt(5, (stage) => stage.fleet.kill(1)),
-    stepAt(9, (stage) => {
-      stage.network.heal(cutDataCentre(stage));
+    stepAt(3, (deployment) => deployment.fleet.kill(0)),
+    stepAt(5, (deployment) => deployment.fleet.kill(1)),
+    stepAt(9, (deployment) => {
+      deployment.network.heal(cutDataCentre(deployment));
     }),
-    stepAt(10, (stage) => stage.fleet.restart(0)),
-    stepAt(11, (stage) => stage.fleet.restart(1)),
+    stepAt(10, (deployment) => deployment.fleet.restart(0)),
+    stepAt(11, (deployment) => deployment.fleet.restart(1)),
   ],
 };
 
@@ -138,24 +138,24 @@
   stopPhase,
 ];
 
-function cutDataCentre(stage: ProveStage): string {
-  return stage.plan.dataCentres[CUT_DATA_CENTRE] ?? '';
+function cutDataCentre(deployment: ProveDeployment): string {
+  return deployment.plan.dataCentres[CUT_DATA_CENTRE] ?? '';
 }
 
-function setOutage(stage: ProveStage, outage: 'none' | 'silent' | 'refuse'): undefined {
-  stage.platform.setFaults('all', { outage });
+function setOutage(deployment: ProveDeployment, outage: 'none' | 'silent' | 'refuse'): undefined {
+  deployment.platform.setFaults('all', { outage });
 }
 
-async function crashEngine(stage: ProveStage): Promise<void> {
-  const engine = stage.backends.engines.find((one) => one.runningRequests > 0);
+async function crashEngine(deployment: ProveDeployment): Promise<void> {
+  const engine = deployment.backends.engines.find((one) => one.runningRequests > 0);
   engine?.crash();
   await engine?.start();
 }
 
 /** Stops a router as planned and restarts it; an exit code other than 0 is a violation. */
-async function stopAndRestart(stage: ProveStage, index: number): Promise<void> {
-  const end = await stage.fleet.terminate(index);
+async function stopAndRestart(deployment: ProveDeployment, index: number): Promise<void> {
+  const end = await deployment.fleet.terminate(index);
   if (end.code !== 0)
-    stage.stopViolations.push(`router ${index} exited with ${JSON.stringify(end)}`);
-  await stage.fleet.restart(index);
+    deployment.stopViolations.push(`router ${index} exited with ${JSON.stringify(end)}`);
+  await deployment.fleet.restart(index);
 }
--- a/packages/lab/src/node/prove/proveStage.ts
+++ b/packages/lab/src/node/prove/proveDeployment.ts
@@ -19,7 +19,7 @@
 const INSTANCE_LAG_MS = 1_000;
 
 /** Components into which a phase injects faults and whose state it reads. */
-export interface ProveStage {
+export interface ProveDeployment {
   plan: DeploymentPlan;
   platform: PlatformStandIn;
   backends: RunningBackends;
@@ -38,28 +38,28 @@
  * settings of all routers, by section.
  *
  * @example
- * const stage = await startStage(deployments['tsagaan-deel'], directory, 1);
- * await stage.close();
+ * const deployment = await startProveDeployment(deployments['tsagaan-deel'], directory, 1);
+ * await deployment.close();
  */
-export async function startStage(
+export async function startProveDeployment(
   plan: DeploymentPlan,
   directory: string,
   seed: number,
   settings: Record<string, unknown> = {},
-): Promise<ProveStage> {
+): Promise<ProveDeployment> {
   const closers: (() => Promise<unknown>)[] = [];
   const close = async (): Promise<void> => {
     for (const closer of closers.splice(0).reverse()) await closer();
   };
   try {
-    return await buildStage({ plan, directory, seed, settings, closers, close });
+    return await buildProveDeployment({ plan, directory, seed, settings, closers, close });
   } catch (err) {
     await close();
     throw err;
   }
 }
 
-interface StageContext {
+interface ProveDeploymentContext {
   plan: DeploymentPlan;
   directory: string;
   seed: number;
@@ -68,7 +68,7 @@
   close: () => Promise<void>;
 }
 
-async function buildStage(context: StageContext): Promise<ProveStage> {
+async function buildProveDeployment(context: ProveDeploymentContext): Promise<ProveDeployment> {
   const { plan, directory, seed, closers, close } = context;
   const listenPorts = Object.fromEntries(plan.dataCentres.map((name) => [name, 0]));
   const platform = await createPlatformStandIn({
@@ -118,7 +118,7 @@
 }
 
 async function createFleet(
-  { plan, directory, settings }: StageContext,
+  { plan, directory, settings }: ProveDeploymentContext,
   platform: PlatformStandIn,
   network: Network,
 ): Promise<FleetRunner> {
--- a/packages/lab/src/node/prove/runProve.ts
+++ b/packages/lab/src/node/prove/runProve.ts
@@ -11,7 +11,7 @@
 import { runLeavingPhase } from './leavingPhase.js';
 import { runLoadPhase } from './loadPhase.js';
 import { loadPhases } from './phases.js';
-import { startStage } from './proveStage.js';
+import { startProveDeployment } from './proveDeployment.js';
 
 /** Options of {@link runProve}. */
 export interface ProveOptions {
@@ -52,19 +52,23 @@
   const startedAt = performance.now();
   const directory = await mkdtemp(join(tmpdir(), 'flamingocourse-prove-'));
   options.onProgress(`settings and logs of the routers are in ${directory}`);
-  const stage = await startStage(deployments['tsagaan-deel'], directory, options.seed);
+  const deployment = await startProveDeployment(
+    deployments['tsagaan-deel'],
+    directory,
+    options.seed,
+  );
   const findings = new Findings();
   const figures: Record<string, unknown>[] = [];
   try {
     for (const [index, phase] of phases.entries()) {
       if (options.only !== undefined && !phase.promises.includes(options.only)) continue;
       const seed = options.seed * SEED_STEP + index;
-      const run = await phase.run({ stage, findings, seed, onProgress: options.onProgress });
+      const run = await phase.run({ deployment, findings, seed, onProgress: options.onProgress });
       figures.push({ ...run });
     }
-    findings.add(7, { checks: 0, violations: stage.stopViolations });
+    findings.add(7, { checks: 0, violations: deployment.stopViolations });
   } finally {
-    await stage.close();
+    await deployment.close();
   }
   const seconds = Math.round((performance.now() - startedAt) / MS_PER_SECOND);
   const promises = findings
--- a/packages/lab/src/node/prove/watchers.ts
+++ b/packages/lab/src/node/prove/watchers.ts
@@ -1,10 +1,10 @@
 /** Samples budgets and configuration periodically while faults are injected. */
 
 import type { FleetRunner } from '../fleetRunner/index.js';
-import type { ProveStage } from './proveStage.js';
+import type { ProveDeployment } from './proveDeployment.js';
 import { z } from 'zod';
 import { findMoneyFaults } from '../../runtime/prove/moneyAudit.js';
-import { readMoney } from './proveStage.js';
+import { readMoney } from './proveDeployment.js';
 
 const MONEY_SAMPLE_MS = 100;
 const REVISION_SAMPLE_MS = 250;
@@ -27,12 +27,12 @@
 }
 
 /** Samples ledger and journals and checks that no budget is exceeded. */
-export function watchMoney(stage: ProveStage): Watch {
+export function watchMoney(deployment: ProveDeployment): Watch {
   const seen = new Set<string>();
   const watch: Watch = { samples: 0, violations: [], stop: () => undefined };
   const timer = setInterval(() => {
     watch.samples += 1;
-    for (const fault of findMoneyFaults(readMoney(stage.platform))) seen.add(fault);
+    for (const fault of findMoneyFaults(readMoney(deployment.platform))) seen.add(fault);
     watch.violations = [...seen];
   }, MONEY_SAMPLE_MS);
   watch.stop = () => {
--- a/packages/lab/src/runtime/loadRecorder.ts
+++ b/packages/lab/src/runtime/loadRecorder.ts
@@ -3,7 +3,7 @@
 import type { Histogram } from 'hdr-histogram-js';
 import type {
   AccountFigures,
-  CallEnd,
+  AttemptOutcome,
   ClassFigures,
   EntryOutcome,
   LoadResult,
@@ -69,14 +69,14 @@
   }
 
   /** Counts one attempt, including one that is followed by a retry. */
-  attempt(request: PlannedRequest, index: number, end: CallEnd): void {
+  attempt(request: PlannedRequest, index: number, end: AttemptOutcome): void {
     if (index > 0) this.#counts.retries += 1;
     if (end.type === 'broken') this.#counts.broken += 1;
     if ('verdict' in end) this.#recordVerdict(request, end.verdict);
   }
 
   /** Counts the final outcome of a request; `startedAt` and `endedAt` in milliseconds. */
-  finished(request: PlannedRequest, end: CallEnd, startedAt: number, endedAt: number): void {
+  finished(request: PlannedRequest, end: AttemptOutcome, startedAt: number, endedAt: number): void {
     if (request.item.type === 'entry') this.#counts.entries[request.key] = entryOutcome(end);
     switch (end.type) {
       case 'answer':
@@ -120,7 +120,7 @@
 
   #recordAnswer(
     request: PlannedRequest,
-    end: CallEnd & { type: 'answer' },
+    end: AttemptOutcome & { type: 'answer' },
     startedAt: number,
     endedAt: number,
   ): void {
@@ -161,7 +161,7 @@
   }
 }
 
-function entryOutcome(end: CallEnd): EntryOutcome {
+function entryOutcome(end: AttemptOutcome): EntryOutcome {
   if (end.type === 'answer') return 'entered';
   return end.type === 'refused' && end.run === 'not-run' ? 'not-run' : 'unknown';
 }
--- a/packages/lab/src/types/load.ts
+++ b/packages/lab/src/types/load.ts
@@ -75,7 +75,7 @@
   /** Called about once a second with the current figures. */
   onProgress?: (progress: LoadProgress) => void;
   /** Called with the outcome of each attempt. */
-  onAttempt?: (request: PlannedRequest, end: CallEnd) => void;
+  onAttempt?: (request: PlannedRequest, end: AttemptOutcome) => void;
   /** Stops the arrivals early. */
   signal?: AbortSignal;
 }
@@ -113,7 +113,7 @@
 }
 
 /** Outcome of one attempt of a caller. */
-export type CallEnd =
+export type AttemptOutcome =
   | {
       type: 'answer';
       verdict: AnswerVerdict;
--- a/test/lab/capacity.test.ts
+++ b/test/lab/capacity.test.ts
@@ -7,7 +7,7 @@
   createCapacityReport,
   createRoutingReport,
   extrapolation,
-  findBreaks,
+  findExceededLimits,
   fitCostLine,
   median,
   readProcessUsage,
@@ -15,7 +15,7 @@
   sharesOf,
   targetSize,
   timesLimit,
-  workOutCapacity,
+  estimateCapacity,
 } from '@flamingocourse/lab';
 
 /** Every cost line that the model uses, with its drivers. */
@@ -129,10 +129,10 @@
 test('costs grow with the fleet, and breaks are sorted with the worst first', () => {
   const half: FleetSize = { ...targetSize, nodes: 1_400, requestsPerSecond: 25_500 };
   const costOf = (size: FleetSize, mechanism: string): number =>
-    workOutCapacity(lines, size).find((row) => row.mechanism === mechanism)?.cost ?? NaN;
+    estimateCapacity(lines, size).find((row) => row.mechanism === mechanism)?.cost ?? NaN;
   const lists = 'instance lists, one a service and router';
   assert.ok(costOf(targetSize, lists) > 1.9 * costOf(half, lists));
-  const breaks = findBreaks(workOutCapacity(lines, targetSize)).map(timesLimit);
+  const breaks = findExceededLimits(estimateCapacity(lines, targetSize)).map(timesLimit);
   assert.ok(breaks.length > 0 && breaks.every((times) => times > 1));
   assert.deepEqual(
     breaks,
@@ -142,7 +142,7 @@
 
 test('a row without a limit never breaks', () => {
   const row: CapacityRow = { role: 'r', mechanism: 'm', cost: 1e12, unit: 'B', drawnOut: 1 };
-  assert.deepEqual(findBreaks([row]), []);
+  assert.deepEqual(findExceededLimits([row]), []);
 });
 
 test('the reports of capacity and routing match the report schema', () => {
