--- a/packages/core/src/runtime/membership/membership.ts
+++ b/packages/core/src/runtime/membership/membership.ts
@@ -101,13 +101,13 @@
   if (known && info.beat <= known.info.beat) return state;
   const members = known ? state.members : evictForNewMember(state, info, now);
   if (!members) return state;
-  const heardAt = Math.max(known?.lastHeardAt ?? 0, now - ageMs);
-  const directAt = ageMs === 0 ? now : known?.lastDirectAt;
+  const lastHeardAt = Math.max(known?.lastHeardAt ?? 0, now - ageMs);
+  const lastDirectAt = ageMs === 0 ? now : known?.lastDirectAt;
   const member = {
     info,
-    firstHeardAt: known?.firstHeardAt ?? heardAt,
-    heardAt,
-    ...(directAt !== undefined && { directAt }),
+    firstHeardAt: known?.firstHeardAt ?? lastHeardAt,
+    lastHeardAt,
+    ...(lastDirectAt !== undefined && { lastDirectAt }),
   };
   return { ...state, members: { ...members, [info.incarnation]: member } };
 }
