--- a/packages/lab/src/node/engineStandIn/engineStandIn.ts
+++ b/packages/lab/src/node/engineStandIn/engineStandIn.ts
@@ -254,7 +254,7 @@
     const number = Number(requestHeader(req, 'x-fencing-number') ?? Number.NaN);
     const isStale = Number.isNaN(number) || number < this.#fencing;
     if (this.#options.checksFencing && isStale) {
-      const message = `fencing number ${number} was rejected; ${this.#fencing} was already received`;
+      const message = `order carries fencing number ${number}; ${this.#fencing} was seen`;
       sendJson(res, 409, { error: { message } });
       return;
     }
--- a/packages/router/src/utils/settingsSchema.ts
+++ b/packages/router/src/utils/settingsSchema.ts
@@ -45,13 +45,13 @@
   seeds: z
     .array(url('mesh of another router'))
     .max(64)
-    .describe('an array of mesh URLs of other routers, used if the instance list cannot be read')
+    .describe('an array of mesh URLs of other routers, used while the instance list is out')
     .default([...defaults.mesh.seeds]),
   heartbeatMs: milliseconds('time between heartbeats').default(defaults.mesh.heartbeatMs),
   suspectMs: milliseconds('silence after which a peer is suspect').default(defaults.mesh.suspectMs),
-  goneMs: milliseconds(
-    'silence after which a peer counts as gone and its holder is sealed',
-  ).default(defaults.mesh.goneMs),
+  goneMs: milliseconds('silence after which a peer is taken as gone and gets sealed').default(
+    defaults.mesh.goneMs,
+  ),
 });
 
 const platformSchema = z.strictObject({
