--- a/packages/core/src/runtime/prepaid/lenders.ts
+++ b/packages/core/src/runtime/prepaid/lenders.ts
@@ -48,10 +48,10 @@
  * const [first, second] = orderLenders(lenders, 'club-7');
  */
 export function orderLenders(
-  spenders: readonly FleetInstance[],
+  lenders: readonly FleetInstance[],
   account: AccountId,
 ): FleetInstance[] {
-  return byRank(spenders, account);
+  return byRank(lenders, account);
 }
 
 function byRank(instances: readonly FleetInstance[], key: string): FleetInstance[] {
--- a/packages/core/src/runtime/quarantine/index.ts
+++ b/packages/core/src/runtime/quarantine/index.ts
@@ -1,2 +1,2 @@
-export { provenCrashCauses as provenCauses, refusedForMs } from './crashEvidence.js';
+export { provenCrashCauses, refusedForMs } from './crashEvidence.js';
 export * from './quarantine.js';
--- a/packages/gateway/src/node/sharedQuarantine.ts
+++ b/packages/gateway/src/node/sharedQuarantine.ts
@@ -14,7 +14,7 @@
 import type { GatewayContext } from '../types/context.js';
 import type { StoredCrashCauses } from './storedCrashCauses.js';
 import type { GossipService } from './gossipService.js';
-import { provenCauses } from '@flamingocourse/core';
+import { provenCrashCauses } from '@flamingocourse/core';
 
 /** Maximum number of requests in one gossip fact. */
 const MAX_REQUESTS_PER_ITEM = 256;
@@ -80,7 +80,7 @@
   }
 
   #saveCauses(fingerprints: readonly Fingerprint[], state: QuarantineState): void {
-    const causes = provenCauses(state, fingerprints, this.#now());
+    const causes = provenCrashCauses(state, fingerprints, this.#now());
     for (const cause of causes) this.#causes.save(cause);
   }
 
--- a/test/compat/checkGateways.ts
+++ b/test/compat/checkGateways.ts
@@ -20,7 +20,7 @@
 import { SoakProcess } from '../soak/soakProcess.js';
 import { TOKENS_PER_EVENT, brokenPromises } from '../soak/soakPromises.js';
 
-/** Enough that most instances borrow from spenders. */
+/** Enough that most instances borrow from lenders. */
 const INSTANCES = 12;
 const PORTS_PER_INSTANCE = 3;
 const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'];
--- a/test/prepaid/prepaidHolder.test.ts
+++ b/test/prepaid/prepaidHolder.test.ts
@@ -22,9 +22,7 @@
     sizing,
     maxReportIntervalMs: MAX_REPORT_INTERVAL_MS,
   };
-  return new PrepaidHolder(
-    callerAffinity ? { ...options, callerAffinity: callerAffinity } : options,
-  );
+  return new PrepaidHolder(callerAffinity ? { ...options, callerAffinity } : options);
 }
 
 function grantedPage(): PrepaidPage {
