--- a/test/compat/checkGateways.ts
+++ b/test/compat/checkGateways.ts
@@ -17,13 +17,18 @@
 import { configWith, until } from '../platform/world.js';
 import { SoakCallers } from '../soak/soakCallers.js';
 import { SoakCrashes } from '../soak/soakCrashes.js';
+import {
+  DATA_CENTRE_COUNT,
+  PORTS_PER_INSTANCE,
+  settingsOf,
+  soakServices,
+  untilReady,
+} from '../soak/soakFleet.js';
 import { SoakProcess } from '../soak/soakProcess.js';
-import { TOKENS_PER_EVENT, brokenPromises } from '../soak/soakPromises.js';
+import { brokenPromises } from '../soak/soakPromises.js';
 
 /** Enough that most instances borrow from lenders. */
 const INSTANCES = 12;
-const PORTS_PER_INSTANCE = 3;
-const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'];
 /** Accounts whose calls make up the load. */
 const SPENDING = ['kirk', 'spock'];
 /** Accounts that send the request that crashes servers. */
@@ -117,9 +122,7 @@
 
   /** Restarts every second instance of each data centre with the other build. */
   async replaceEverySecond(build: Build): Promise<void> {
-    const replaced = this.instances.filter(
-      (_, at) => Math.floor(at / DATA_CENTRES.length) % 2 === 1,
-    );
+    const replaced = this.instances.filter((_, at) => Math.floor(at / DATA_CENTRE_COUNT) % 2 === 1);
     for (const instance of replaced) {
       await instance.end('SIGTERM');
       await startUntilReady(runWith(instance, build));
@@ -244,17 +247,7 @@
 
 async function startUntilReady(instance: Instance): Promise<void> {
   await instance.start();
-  await until(`${instance.name} is ready`, async () => {
-    const [end] = instance.unexpectedExits;
-    if (end !== undefined) throw new Error(`${end}; its last line: ${lastLine(instance)}`);
-    try {
-      return (await fetch(`http://${instance.settings.listen.ready}/api/ready`)).ok;
-    } catch (err) {
-      // The process does not listen yet.
-      if (err instanceof TypeError) return false;
-      throw err;
-    }
-  });
+  await untilReady(instance);
 }
 
 interface LogLine {
@@ -279,32 +272,10 @@
   return new Set(found.map(({ fingerprint }) => fingerprint));
 }
 
-function lastLine({ output }: SoakProcess): string {
-  return output.trimEnd().split('\n').at(-1) ?? 'none';
-}
-
 function configOf(): Record<string, unknown> {
-  const { services } = configWith() as { services: { engine?: object }[] };
   const tenants = [
     ...SPENDING.map((name) => ({ name, api_keys: [`key-of-${name}`], prepaid: LIMIT })),
     ...CRASHING.map((name) => ({ name, api_keys: [`key-of-${name}`] })),
   ];
-  const sized = services.map((service) => {
-    return service.engine
-      ? { ...service, engine: { slots: 16, stride: TOKENS_PER_EVENT } }
-      : service;
-  });
-  return configWith({ version: 8, tenants, services: sized });
-}
-
-function settingsOf(ports: number[], storeUrl: string, at: number): SoakProcess['settings'] {
-  const [entry = '', ready = '', mesh = ''] = ports.map((port) => `127.0.0.1:${String(port)}`);
-  return {
-    dataCentre: DATA_CENTRES[at % DATA_CENTRES.length],
-    listen: { entry, ready, mesh },
-    store: { url: storeUrl, timeoutMs: 500, watchIdleMs: 1_000, configurationIdleMs: 1_000 },
-    prepaid: { reportMs: 300, rideThroughSeconds: 3 },
-    retries: { ratio: 0.2, slack: 54, windowMs: 10_000 },
-    stopGraceMs: 4_000,
-  };
+  return configWith({ version: 8, tenants, services: soakServices() });
 }
--- a/test/soak/runSoak.ts
+++ b/test/soak/runSoak.ts
@@ -12,16 +12,16 @@
 import { createRandom } from '../../packages/lab/src/runtime/random.js';
 import { FakeServer } from '../platform/fakeServer.js';
 import { FakeStore } from '../platform/fakeStore.js';
-import { configWith, until } from '../platform/world.js';
+import { configWith } from '../platform/world.js';
 import { SoakCallers } from './soakCallers.js';
 import { SoakCrashes } from './soakCrashes.js';
+import { PORTS_PER_INSTANCE, settingsOf, soakServices, untilReady } from './soakFleet.js';
 import { SoakProcess } from './soakProcess.js';
-import { TOKENS_PER_EVENT, brokenPromises } from './soakPromises.js';
+import { brokenPromises } from './soakPromises.js';
 
 const INSTANCES = 3;
 /** Instances in a run of every fifth seed: so many that most of them borrow tokens from others. */
 const MANY_INSTANCES = 12;
-const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'] as const;
 const MANY_INSTANCES_EVERY = 5;
 /** Every fourth seed has a request that crashes the engines that run it. */
 const CRASHES_EVERY = 4;
@@ -31,8 +31,6 @@
 /** Tokens of an account; the calls of a run need more in total. */
 const LIMIT = 60_000;
 const TOP_UP = 10_000;
-/** Ports of one instance: for callers, for readiness checks and for other instances. */
-const PORTS_PER_INSTANCE = 3;
 const MS_PER_SECOND = 1_000;
 /** Milliseconds between two calls. */
 const CALL_INTERVAL_MS = 25;
@@ -323,32 +321,14 @@
     const tenants = [...this.#limits].map(([name, prepaid]) => {
       return { name, api_keys: [`key-of-${name}`], prepaid };
     });
-    const { services } = configWith() as { services: { engine?: object }[] };
-    const sized = services.map((service) => {
-      return service.engine
-        ? { ...service, engine: { slots: 16, stride: TOKENS_PER_EVENT } }
-        : service;
-    });
     this.store.put(
       'config',
       'main',
-      configWith({ version: this.#version, tenants, services: sized }),
+      configWith({ version: this.#version, tenants, services: soakServices() }),
     );
   }
 }
 
-async function untilReady({ name, settings }: SoakProcess): Promise<void> {
-  await until(`${name} is ready`, async () => {
-    try {
-      return (await fetch(`http://${settings.listen.ready}/api/ready`)).ok;
-    } catch (err) {
-      // The process does not listen yet.
-      if (err instanceof TypeError) return false;
-      throw err;
-    }
-  });
-}
-
 async function restart(
   instance: SoakProcess,
   signal: 'SIGKILL' | 'SIGTERM',
@@ -399,15 +379,3 @@
   const target = { host, port: Number(port) };
   return Promise.all(Array.from({ length: count }, () => createLink({ target })));
 }
-
-function settingsOf(ports: number[], storeUrl: string, at: number): SoakProcess['settings'] {
-  const [entry = '', ready = '', mesh = ''] = ports.map((port) => `127.0.0.1:${String(port)}`);
-  return {
-    dataCentre: DATA_CENTRES[at % DATA_CENTRES.length],
-    listen: { entry, ready, mesh },
-    store: { url: storeUrl, timeoutMs: 500, watchIdleMs: 1_000, configurationIdleMs: 1_000 },
-    prepaid: { reportMs: 300, rideThroughSeconds: 3 },
-    retries: { ratio: 0.2, slack: 54, windowMs: 10_000 },
-    stopGraceMs: 4_000,
-  };
-}
--- /dev/null
+++ b/test/soak/soakFleet.ts
@@ -0,0 +1,54 @@
+/** Settings, services and readiness of the processes that the soak and the compatibility check start. */
+
+import type { SoakProcess } from './soakProcess.js';
+import { configWith, until } from '../platform/world.js';
+import { TOKENS_PER_EVENT } from './soakPromises.js';
+
+/** Ports of one instance: for callers, for readiness checks and for other instances. */
+export const PORTS_PER_INSTANCE = 3;
+const DATA_CENTRES = ['hall-a', 'hall-b', 'hall-c'] as const;
+/** Number of data centres over which instances are spread in turn. */
+export const DATA_CENTRE_COUNT = DATA_CENTRES.length;
+
+/** Settings of the instance with the given index, which uses the first three of `ports`. */
+export function settingsOf(ports: number[], storeUrl: string, at: number): SoakProcess['settings'] {
+  const [entry = '', ready = '', mesh = ''] = ports.map((port) => `127.0.0.1:${String(port)}`);
+  return {
+    dataCentre: DATA_CENTRES[at % DATA_CENTRES.length],
+    listen: { entry, ready, mesh },
+    store: { url: storeUrl, timeoutMs: 500, watchIdleMs: 1_000, configurationIdleMs: 1_000 },
+    prepaid: { reportMs: 300, rideThroughSeconds: 3 },
+    retries: { ratio: 0.2, slack: 54, windowMs: 10_000 },
+    stopGraceMs: 4_000,
+  };
+}
+
+/** Services of the test configuration, with engines of the size of the stand-ins. */
+export function soakServices(): object[] {
+  const { services } = configWith() as { services: { engine?: object }[] };
+  return services.map((service) => {
+    return service.engine
+      ? { ...service, engine: { slots: 16, stride: TOKENS_PER_EVENT } }
+      : service;
+  });
+}
+
+/** Waits until a started process is ready; fails at once if it exits before that. */
+export async function untilReady(instance: SoakProcess): Promise<void> {
+  const { name, settings, unexpectedExits } = instance;
+  await until(`${name} is ready`, async () => {
+    const [exit] = unexpectedExits;
+    if (exit !== undefined) throw new Error(`${exit}; its last line: ${lastLine(instance)}`);
+    try {
+      return (await fetch(`http://${settings.listen.ready}/api/ready`)).ok;
+    } catch (err) {
+      // The process does not listen yet.
+      if (err instanceof TypeError) return false;
+      throw err;
+    }
+  });
+}
+
+function lastLine({ output }: SoakProcess): string {
+  return output.trimEnd().split('\n').at(-1) ?? 'none';
+}
