--- a/packages/core/src/runtime/configStore/configStore.ts
+++ b/packages/core/src/runtime/configStore/configStore.ts
@@ -1,7 +1,7 @@
 /**
  * Declared objects as one router knows them, merged from the platform and from peers. The highest
- * revision of each object wins, deletions included, so that the configuration never reverts,
- * whatever the order in which reads and messages arrive.
+ * revision of each object wins, deletions included, so that the configuration never reverts when
+ * reads and messages arrive out of order.
  */
 
 import type { DeclarationKind, DeclaredObject } from '../../types/declaration.js';
@@ -30,7 +30,7 @@
   asOf: number;
   /** Changed objects, deletions included; or all existing objects if `complete`. */
   objects: DeclaredObject[];
-  /** Whether an object that is missing here did not exist at revision `asOf`. */
+  /** Whether `objects` contains every object that existed at revision `asOf`. */
   complete: boolean;
   /** Earlier versions that are in force at the sender, because the newest ones are invalid. */
   lastGood?: DeclaredObject[];
@@ -64,7 +64,7 @@
   if (update.complete) deleteMissing(objects, update);
   const candidates = mergeNewer(store.lastGood, update.lastGood ?? []);
   const lastGood = selectLastGood(objects, candidates);
-  // if the store was older than a complete update, it never received the deletions in between.
+  // a complete update may omit the deletions between the store's revision and its own.
   const floor = update.complete && update.asOf > store.asOf ? update.asOf : store.floor;
   const asOf = Math.max(store.asOf, update.asOf);
   return dropOldDeletions({ objects, lastGood, asOf, floor });
--- a/packages/core/src/runtime/configStore/effectiveConfig.ts
+++ b/packages/core/src/runtime/configStore/effectiveConfig.ts
@@ -78,9 +78,8 @@
 
 /**
  * Scales down the budget shares of a service's classes if their sum exceeds 1. Otherwise the
- * classes that spend first could use the shares of the others. A class with a share of 1 has no cap
- * of its own. It is neither counted nor scaled, because it takes nothing from the shares of the
- * others.
+ * classes that spend first could use the shares of the others. A class with a share of 1 is not
+ * capped. It is neither counted nor scaled, because it takes nothing from the shares of the others.
  */
 function scaleShares(classes: WorkClassDeclaration[]): {
   workClasses: WorkClassDeclaration[];
--- a/packages/core/src/runtime/declaration/guards.ts
+++ b/packages/core/src/runtime/declaration/guards.ts
@@ -100,7 +100,7 @@
   return findService(after.service, context)?.type === 'plain';
 }
 
-// a class with a share of 1 has no cap of its own, so only capped classes are counted
+// a class with a share of 1 is not capped, and only capped classes are counted
 function guardShares(after: WorkClassDeclaration, context: GuardContext): GuardFinding[] {
   if (after.budgetShare === 1) return [];
   const capped = context.after
--- a/packages/core/src/runtime/declaration/planChanges.ts
+++ b/packages/core/src/runtime/declaration/planChanges.ts
@@ -136,7 +136,7 @@
   return current.filter((object) => object.declaration && !named.has(objectName(object)));
 }
 
-// an object is removed only after those that refer to it, so that no reference ever dangles
+// an object is removed only after those that refer to it, so that no reference is ever broken
 function planRemovals(
   removals: readonly DeclaredObject[],
   current: readonly DeclaredObject[],
--- a/packages/core/src/runtime/declaration/readDeclarations.ts
+++ b/packages/core/src/runtime/declaration/readDeclarations.ts
@@ -1,5 +1,6 @@
 /**
- * Reads declaration files. Each object is checked separately, so that a faulty one hides no other.
+ * Reads declaration files. Each object is checked separately, so that a faulty object does not
+ * affect the others of its file.
  */
 
 import type { JsoncDocument, JsoncPath, SourceFault } from '../../utils/jsonc.js';
--- a/packages/core/src/runtime/membership/memberHealth.ts
+++ b/packages/core/src/runtime/membership/memberHealth.ts
@@ -65,8 +65,8 @@
  * clock, all peers would then be gone, and the router would seal them and take over their duties.
  * While its own tick is overdue, silence is therefore measured up to the last tick, until which the
  * router did receive heartbeats. This is safe because each tick subtracts the pause from the
- * silence of all peers before it updates `lastTickAt`, and because a running router ticks far more
- * often than the threshold.
+ * silence of all peers before it updates `lastTickAt`, and because the interval between the ticks
+ * of a running router is below `suspectMs / 2` (1,000 and 1,250 ms by default).
  */
 function silenceReferenceTime({ lastTickAt, settings }: MembershipState, now: EpochMs): EpochMs {
   if (lastTickAt === undefined) return now;
@@ -84,9 +84,9 @@
 }
 
 /**
- * Whether a later incarnation of the same instance has replaced a member. The later one must have
- * been heard from more than once: the first heartbeat of an old incarnation can arrive late and
- * must not replace the current one.
+ * Whether a later incarnation of the same instance has replaced a member. There must be evidence of
+ * the later one that is newer than its first: a single delayed heartbeat of an old incarnation must
+ * not replace the current one.
  */
 function isSuperseded(member: KnownMember, incarnations: KnownMember[]): boolean {
   return incarnations.some(
--- a/packages/core/src/runtime/membership/membership.ts
+++ b/packages/core/src/runtime/membership/membership.ts
@@ -24,7 +24,7 @@
 }
 
 /**
- * Message from one router to another at each beat. Its size is bounded, whatever the fleet size.
+ * Message from one router to another at each beat. Its size does not grow with the fleet.
  */
 export interface Heartbeat {
   info: MemberInfo;
@@ -203,12 +203,12 @@
 }
 
 /**
- * Mesh URLs that need no heartbeat at this beat, because their own heartbeat was answered a moment
- * ago, and that exchange gave both sides the same information. If two routers would both send at
- * each beat, the one that ticks later skips its heartbeat, which saves half of the traffic.
+ * Mesh URLs that need no heartbeat at this beat, because their own heartbeat was answered recently
+ * and both sides got the same information. Of two routers that would both send at each beat, the
+ * one that ticks later skips its heartbeat, which saves half of the traffic.
  *
- * Failures are still detected: a member that was not heard from for a part of a beat gets a
- * heartbeat.
+ * Failures are still detected: a member gets a heartbeat if none has arrived from it for a part of a
+ * beat.
  */
 export function recentlyExchanged(
   state: MembershipState,
--- a/packages/core/src/types/prepaid.ts
+++ b/packages/core/src/types/prepaid.ts
@@ -95,7 +95,7 @@
   entries: Record<AccountId, PrepaidReportEntry>;
 }
 
-/** Input from which a holder decides how many tokens to hold, whatever their source. */
+/** Input from which a holder decides how many tokens to hold, independent of their source. */
 export interface PrepaidView {
   /** Whether the source of the tokens has applied a report of this process. */
   isRegistered: boolean;
--- a/packages/core/src/types/quarantine.ts
+++ b/packages/core/src/types/quarantine.ts
@@ -58,7 +58,7 @@
       inFlight: Fingerprint[];
       /**
        * Whether other instances may have had requests in flight there too. The requests in flight
-       * from this instance are then no proof by themselves, and several instances may report the
+       * from this instance are then no sufficient proof, and several instances may report the
        * same crash. @default false
        */
       isShared?: boolean;
--- a/packages/core/src/utils/jsoncCheck.ts
+++ b/packages/core/src/utils/jsoncCheck.ts
@@ -13,7 +13,7 @@
   at?: JsoncPath;
   /** Returns a hint for an unknown key, if a specific one is known. */
   explainKey?: (key: string) => string | undefined;
-  /** Whether a value may be a secret that no message may contain. @default no value is */
+  /** Whether the value at a path is secret, so that no message may show it. @default always false */
   isSecret?: (path: JsoncPath) => boolean;
 }
 
@@ -141,8 +141,8 @@
 }
 
 /**
- * Finds the schema at a path. Wrappers such as optional are removed, unless they have a description
- * of their own.
+ * Finds the schema at a path. Wrappers such as optional are removed, unless they have their own
+ * description.
  */
 function schemaAt(
   schema: z.ZodType,
--- a/packages/kernel/src/node/timeLimit.ts
+++ b/packages/kernel/src/node/timeLimit.ts
@@ -13,9 +13,9 @@
 }
 
 /**
- * Calls the listener when the time is over and all data that had arrived by then was read. The
+ * Calls the listener when the time has passed and all data that had arrived by then was read. The
  * event loop runs timers before it reads: if the loop lags, the awaited data may have arrived long
- * before.
+ * before the timer runs.
  *
  * @param ms Undefined for no timeout.
  * @returns A function that stops the timer.
--- a/packages/mesh/src/runtime/meshRouter.ts
+++ b/packages/mesh/src/runtime/meshRouter.ts
@@ -56,8 +56,9 @@
 }
 
 /**
- * Procedures that may omit the recipient's incarnation: heartbeats are how incarnations become
- * known, a loan request contains its lender's incarnation, and gossip is meant for any process.
+ * Procedures that may omit the recipient's incarnation: a heartbeat may be sent before the
+ * incarnation is known, a loan request contains the lender's incarnation in its input, and gossip is
+ * meant for any process.
  */
 const RECIPIENT_OPTIONAL: ReadonlySet<ProcedureName> = new Set([
   'heartbeat',
@@ -66,9 +67,9 @@
 ]);
 
 /**
- * Refuses a call that is meant for another incarnation. A new process at the address of an earlier
- * one does not have that one's memory. If it answered "no lines stored" as a witness in its place,
- * a holder would be sealed without bills that its callers have already seen.
+ * Refuses a call that is meant for another incarnation. After a restart the process at an address no
+ * longer has the lines that its predecessor stored as a witness. If it answered "no lines stored",
+ * the holder would be sealed without bills that its callers have already seen.
  */
 function checkRecipient(
   ports: MeshRouterPorts,
--- a/packages/router/src/node/entry/answerWriter.ts
+++ b/packages/router/src/node/entry/answerWriter.ts
@@ -21,8 +21,8 @@
 
 /**
  * Writes the answer of an execution, or a refusal as soon as the caller's deadline has passed. A slow
- * or disconnected caller does not affect the execution, except that it is removed from the answer's
- * readers.
+ * caller does not delay the execution. A caller that disconnects is removed from the answer's
+ * readers; the execution stops only if it was the last one and the request has no key or ticket.
  */
 export async function writeAnswer(
   request: CallerRequest,
@@ -197,8 +197,9 @@
 }
 
 /**
- * Builds the refusal for a caller whose deadline has passed. If no other caller waits for the request
- * and it has not been dispatched, it is aborted first, so that a refusal as "not run" is correct.
+ * Builds the refusal for a caller whose deadline has passed. A request that has not been dispatched
+ * and for which no other caller waits is aborted, so that it cannot run after the refusal. The
+ * refusal then says "not run", unless another ticket may have run the same key.
  */
 function refuseAfterDeadline(execution: Execution): Refusal {
   if (!execution.dispatched && execution.answer.readers <= 1) {
--- a/packages/router/src/node/entry/callerRequest.ts
+++ b/packages/router/src/node/entry/callerRequest.ts
@@ -221,7 +221,8 @@
   );
 }
 
-// a request that names no class must not displace one that was declared as more important.
+// the fallback is the least important class, so that a request without a class cannot displace
+// requests of classes that were declared as more important.
 function leastImportant(classes: WorkClassDeclaration[]): WorkClassDeclaration | undefined {
   const order = ['background', 'standard', 'first'] as const;
   for (const importance of order) {
--- a/packages/router/src/node/entry/entryServer.ts
+++ b/packages/router/src/node/entry/entryServer.ts
@@ -98,7 +98,7 @@
     res.once('close', () => this.#openResponses.delete(res));
   }
 
-  /** Waits until all responses are sent; gives up on callers that need more than `slowReaderMs`. */
+  /** Waits until all open responses are closed, for at most `slowReaderMs`. */
   async #waitForOpenResponses(): Promise<void> {
     const { slowReaderMs } = this.#context.settings.entry;
     let timer: NodeJS.Timeout | undefined;
--- a/packages/router/src/node/entry/executor.ts
+++ b/packages/router/src/node/entry/executor.ts
@@ -2,7 +2,7 @@
  * Runs one request to its end.
  *
  * The order of the steps matters:
- * - The reservation comes before anything is sent, so that the budget holds whatever the engine does.
+ * - The reservation comes before anything is sent, so that no engine can exceed the budget.
  * - The claim and the intent of a non-idempotent request come before its dispatch, so that no other
  *   router runs it too.
  * - The bill is stored before the caller gets the final event, so that a router that crashes has
--- a/packages/router/src/node/entry/forward.ts
+++ b/packages/router/src/node/entry/forward.ts
@@ -33,7 +33,7 @@
     upstream.on('response', (answer) => {
       res.writeHead(answer.statusCode ?? 502, answer.headers);
       answer.pipe(res);
-      // a truncated answer must not look complete to the caller, so its connection is broken off too.
+      // a truncated answer must not look complete, so the caller's connection is destroyed too.
       answer.on('close', () => {
         if (!answer.complete) res.destroy();
         resolve(true);
--- a/packages/router/src/node/entry/requestRunner.ts
+++ b/packages/router/src/node/entry/requestRunner.ts
@@ -114,7 +114,7 @@
     return Result.ok(this.#tickets.format(ticket, account));
   }
 
-  /** Waits for the end of a request of this incarnation; undefined if it is not in the table. */
+  /** Waits until a request of this incarnation ends; undefined if it is not in the table. */
   async awaitEnd(ticketText: string): Promise<AnswerEnd | undefined> {
     const issued = this.#tickets.parse(ticketText);
     if (issued?.ticket.issuer !== this.#fleet.self.incarnation) return undefined;
@@ -226,7 +226,10 @@
     }
   }
 
-  /** Takes over a ticket of a sealed router that was provably neither billed nor run, by a claim. */
+  /**
+   * Runs a request whose ticket was issued by a router that is now sealed, if it was provably neither
+   * billed nor run. A claim decides which router takes over the ticket.
+   */
   async #takeOverTicket(
     request: CallerRequest,
     ticket: TicketId,
@@ -268,7 +271,7 @@
     return this.#money.takeOverClaim(claimKey, from, to);
   }
 
-  /** The request was billed but its answer is lost: if idempotent, it runs again under that bill. */
+  /** The request was billed but its answer is lost. If idempotent, it runs again without a bill. */
   #afterBill(request: CallerRequest, ticket: TicketId): Handling {
     if (request.idempotent) return this.#startNew(request, undefined, ticket);
     return refused({
--- a/packages/router/src/node/entry/unusedTickets.ts
+++ b/packages/router/src/node/entry/unusedTickets.ts
@@ -1,6 +1,6 @@
 /** Tickets of this incarnation whose request has not been started. */
 
-/** Above this number the oldest tickets are dropped; a retry with one gets `outcome-unknown`. */
+/** Maximum number of tickets. The oldest are dropped; requests with them get `outcome-unknown`. */
 const MAX_UNUSED = 65_536;
 
 /**
--- a/packages/router/src/types/backendPorts.ts
+++ b/packages/router/src/types/backendPorts.ts
@@ -12,7 +12,7 @@
 
 /** The platform's instance list, which lags behind the real state. */
 export interface InstanceSource {
-  /** Returns undefined if the list cannot be read; the caller then keeps the last known list. */
+  /** Returns undefined if the list cannot be read; the caller then uses the last known list. */
   list(instanceList: ServiceName): Promise<InstanceRecord[] | undefined>;
 }
 
@@ -31,7 +31,10 @@
    * @param state complete state after the event.
    */
   publish(event: QuarantineEvent, state: QuarantineState): void;
-  /** Called when a request is refused from now on, because of local events or reports of peers. */
+  /**
+   * Called when an event that this router or a peer observed quarantines a request; not called when
+   * the complete state of a peer does.
+   */
   quarantined?(fingerprint: Fingerprint, state: QuarantineState): void;
   /** Registers a listener for what peers send. */
   onNews(listener: (update: QuarantineNews) => void): void;
@@ -39,6 +42,6 @@
 
 /** Servers that operators have drained. */
 export interface DrainSource {
-  /** Calls the listener with all drains in force, immediately and after each change. */
+  /** Calls the listener with all drains in force, immediately and after each update. */
   onDrains(listener: (drains: { service: ServiceName; server: ServerId }[]) => void): void;
 }
--- a/packages/router/src/types/fleet.ts
+++ b/packages/router/src/types/fleet.ts
@@ -3,7 +3,7 @@
 import type { IncarnationId, MemberInfo, PeerHealth } from '@flamingocourse/core';
 import { Service } from '@flamingocourse/kernel';
 
-/** A peer and its health as this router judges it. */
+/** A peer and its health as this router sees it. */
 export interface Peer {
   info: MemberInfo;
   health: PeerHealth;
--- a/packages/store/src/node/httpObjectStore.ts
+++ b/packages/store/src/node/httpObjectStore.ts
@@ -86,7 +86,7 @@
   readonly #clock: Clock;
   readonly #dialect: StoreDialect;
   readonly #agent = new Agent({ keepAlive: true, maxSockets });
-  /** Separate from the agent for calls, because each watch occupies a connection all the time. */
+  /** Separate from the agent for calls, because each watch occupies a connection permanently. */
   readonly #watchAgent = new Agent({ keepAlive: true });
   /** A probe opens a new connection: existing ones may never deliver data again. */
   readonly #probeAgent = new Agent({ keepAlive: false });
@@ -270,7 +270,7 @@
     return result;
   }
 
-  /** Starts probing if there are watches; nothing else has to detect the recovery by itself. */
+  /** Starts probing if there are watches; without a watch, the next call detects the recovery. */
   #startProbing(): void {
     if (this.#watches.size > 0) this.#probe.recordFailure();
   }
@@ -307,9 +307,9 @@
   ): void {
     if (result.isErr) this.countFailed(kind);
     const failed = result.isErr && result.error.code === 'unreachable';
-    // a call that its caller aborted says nothing about the platform. The single call of a
-    // half-open circuit counts nevertheless: without an outcome, the circuit would never admit a
-    // call again.
+    // a call that its caller aborted does not show whether the platform is reachable. The single
+    // call of a half-open circuit counts nevertheless: without an outcome, the circuit would never
+    // admit a call again.
     if (failed && signal?.aborted && this.#circuit.phase !== 'half-open') return;
     if (failed) this.#startProbing();
     else if (result.isOk || result.error.code !== 'throttled') this.#recordAnswer();
--- a/test/entry/refusals.test.ts
+++ b/test/entry/refusals.test.ts
@@ -111,8 +111,9 @@
   assert.equal(res.headers.get('retry-after'), '2');
 });
 
-// A request ran at one router, its reply was lost, and another router refuses the retry for an
-// unrelated reason. After "not run" the caller could send it with a new key, and it would run twice.
+// A request ran at one router and its reply was lost. Another router refuses the retry for an
+// unrelated reason. If that refusal said "not run", the caller could send the request with a new
+// key, and it would run twice.
 const unchecked = [
   { name: 'a key whose claim has not been read', key: true, run: 'unknown' },
   { name: 'neither key nor ticket', key: false, run: 'not-run' },
@@ -128,7 +129,8 @@
   });
 }
 
-// Guards against a key that a refused request owns forever: its claim was answered after its refusal.
+// Guards against a key that stays claimed by a refused request, because the claim is answered only
+// after the refusal and nothing releases it then.
 test('a refused request releases its key when its claim is answered', async () => {
   const { money } = router;
   let answerClaims: () => void = () => undefined;
--- a/test/store/watch.test.ts
+++ b/test/store/watch.test.ts
@@ -52,8 +52,9 @@
   }
 }
 
-// Guards against taking the removal of a server for the expiry of its entry in an outage: the batch
-// pause plus the full idle time came within 50 ms of the silence that counts as an outage.
+// Guards against a removed server that is handled as one whose entry expired in an outage: the
+// batch pause plus the full idle time of a watch came within 50 ms of the silence that counts as an
+// outage.
 test('the idle time of a watch includes the pause in which changes are batched', async (t) => {
   const dialect = new OneChangeDialect();
   const store = connect(t, 'http://127.0.0.1:1', { dialect });
@@ -110,8 +111,8 @@
   }
 });
 
-// Guards against answers that call the configuration possibly outdated although the store works:
-// nothing changes for a while, and the bookmarks do not count as a confirmation.
+// Guards against a configuration that is reported as possibly outdated although the store works:
+// without changes only bookmarks arrive, and they did not count as a confirmation.
 test('bookmarks confirm a watch without changes', async (t) => {
   const platform = await startStandIn(t, { bookmarkMs: 20 });
   const store = connect(t, platform.urls['dc-a']);
